--- a/benchmarks/dispatching.py
+++ b/benchmarks/dispatching.py
@@ -107,7 +107,7 @@
                 owner = f"g{hash(request) % _GATEWAYS}"
                 self._dispatcher.place(self._works[request], owner, now_s)
             case "first":
-                self._dispatcher.note_first(FirstByte(request, target, 0.1), now_s)
+                self._dispatcher.record_first_byte(FirstByte(request, target, 0.1), now_s)
             case "end":
                 ended = Ended(request, target, Ending.whole, 0.1, 0.4, 0.0, 20)
                 self._dispatcher.end(ended, now_s)
@@ -115,7 +115,7 @@
                 self._dispatcher.tick(now_s)
 
     def _follow(self, now_s: float) -> None:
-        for decision in self._dispatcher.take_decisions():
+        for decision in self._dispatcher.drain_decisions():
             answer = decision.answer
             if not isinstance(answer, Placed):
                 self.refused += 1
--- a/troutstand/core/refusing.py
+++ b/troutstand/core/admissionqueue.py
@@ -7,7 +7,7 @@
 from troutstand.core.codes import ResultCode
 from troutstand.core.crashes import Blame
 from troutstand.core.decision import Decision, decline_quarantined
-from troutstand.core.scheduling.fairqueue import UNSHARED
+from troutstand.core.scheduling.serviceshares import UNSHARED
 from troutstand.core.siteview import SiteView
 from troutstand.core.targetstate import measure_service
 from troutstand.generated.messages import Declined
@@ -19,7 +19,7 @@
     from troutstand.core.pool import Pool
     from troutstand.core.quota import Quotas
     from troutstand.core.scheduling.options import LoadOptions
-    from troutstand.core.scheduling.waitingqueue import Waiting
+    from troutstand.core.scheduling.waitingqueue import WaitingRequest
     from troutstand.generated.messages import RoutedWork
 
 # How long a request that comes too late may wait, as a multiple of its objective.
@@ -45,7 +45,7 @@
 _OVERTAKEN_MARGIN = 0.2
 
 
-class RefusingQueue(SiteView):
+class AdmissionQueue(SiteView):
     """Hold who waits at a site, and refuse who cannot be served in time."""
 
     def __init__(
@@ -61,7 +61,7 @@
         self.crashes = crashes
         self._decisions: list[Decision] = []
 
-    def take_decisions(self) -> list[Decision]:
+    def drain_decisions(self) -> list[Decision]:
         """Return the decisions since the last call."""
         taken, self._decisions = self._decisions, []
         return taken
@@ -71,7 +71,7 @@
         if waiting is None:
             return
         work = waiting.work
-        pool.shares.leave(work.tier, work.workspace, waiting.share)
+        pool.shares.refund(work.tier, work.workspace, waiting.share)
         if work.attempt == 1:
             self.quotas.give_back(work.workspace, work.charge, waiting.arrived_s, now_s)
 
@@ -88,33 +88,35 @@
         declined = decline_quarantined(work.request, self.crashes.explain(work.fingerprint, now_s))
         self._decisions.append(Decision(owner, declined))
 
-    def _judge_arrival(self, pool: Pool, waiting: Waiting, now_s: float) -> None:
+    def _judge_arrival(self, pool: Pool, waiting: WaitingRequest, now_s: float) -> None:
         if not pool.list_usable():
             return
         pool.judge_time(waiting)
         if self._refuse_resting(pool, waiting, now_s):
             return
         turn_s = pool.measure_turn(now_s)
-        wait_s = (pool.waiting.count_ahead(waiting) + 1) * turn_s
-        if wait_s <= waiting.patience_s:
+        wait_s = (pool.waiting.count_shed_after(waiting) + 1) * turn_s
+        if wait_s <= waiting.slack_s:
             return
         # With its whole time before it, it would have been in time here: it is late by what
         # it has spent, be it with a scheduler that stood still, and not by the queue.
-        is_late_by_spent = wait_s <= waiting.full_patience_s
+        is_late_by_spent = wait_s <= waiting.full_slack_s
         # It goes behind those that can make their objective.
         pool.waiting.mark_late(waiting)
-        ahead = pool.waiting.count_ahead(waiting)
+        ahead = pool.waiting.count_shed_after(waiting)
         wait_s = (ahead + 1) * turn_s
         most_s = min(
             _LATE_PATIENCE * waiting.work.objective_s, _MAX_WAIT_SHARE * waiting.work.remaining_s
         )
-        if is_late_by_spent or waiting.work.spent_s >= waiting.full_patience_s:
-            most_s = max(most_s, waiting.full_patience_s)
+        if is_late_by_spent or waiting.work.spent_s >= waiting.full_slack_s:
+            most_s = max(most_s, waiting.full_slack_s)
         if wait_s > most_s and not self._should_be_late(pool, waiting, ahead, turn_s, now_s):
             back_s = self._estimate_return(pool, waiting, ahead, turn_s)
             self._refuse(pool, waiting, ResultCode.SHED_OVERLOAD, back_s, now_s)
 
-    def _estimate_return(self, pool: Pool, waiting: Waiting, ahead: int, turn_s: float) -> float:
+    def _estimate_return(
+        self, pool: Pool, waiting: WaitingRequest, ahead: int, turn_s: float
+    ) -> float:
         """Return the seconds after which a refused caller should find room.
 
         Told the wait behind those in the queue alone, it comes back into the same burst and
@@ -127,7 +129,7 @@
         return max(wait_s, min(late_s, _RETURN_SHARE * waiting.work.remaining_s))
 
     def _should_be_late(
-        self, pool: Pool, waiting: Waiting, ahead: int, turn_s: float, now_s: float
+        self, pool: Pool, waiting: WaitingRequest, ahead: int, turn_s: float, now_s: float
     ) -> bool:
         """Tell whether a request should be served late rather than refused.
 
@@ -139,24 +141,24 @@
         wait_s = pool.estimate_late_wait(waiting, ahead, turn_s)
         if pool.has_lower(waiting):
             wait_s = min(wait_s, (ahead + 1) * turn_s)
-        if now_s + _LATE_SAFETY * wait_s + waiting.least_first_s > waiting.answer_by_s:
+        if now_s + _LATE_SAFETY * wait_s + waiting.min_first_byte_s > waiting.first_byte_deadline_s:
             return False
         return wait_s <= _MAX_WAIT_SHARE * (waiting.deadline_s - now_s)
 
-    def _is_hopeless(self, pool: Pool, waiting: Waiting, now_s: float) -> bool:
+    def _is_hopeless(self, pool: Pool, waiting: WaitingRequest, now_s: float) -> bool:
         """Tell whether a request's time ends, or its caller leaves, before it could be served."""
         if now_s + measure_service(pool.hold_s or 0.0) * 0.5 > waiting.deadline_s:
             return True
-        is_left = now_s + waiting.least_first_s > waiting.answer_by_s
+        is_left = now_s + waiting.min_first_byte_s > waiting.first_byte_deadline_s
         return self._options.protects_tiers and is_left
 
-    def _refuse_resting(self, pool: Pool, waiting: Waiting, now_s: float) -> bool:
+    def _refuse_resting(self, pool: Pool, waiting: WaitingRequest, now_s: float) -> bool:
         """Refuse who must leave all targets alone for longer than there is time.
 
         Otherwise the request is held until it is late and then refused all the same.
         """
         rest_s = pool.measure_rest(waiting.owner, now_s)
-        if rest_s <= 0.0 or waiting.can_be_in_time(now_s + rest_s):
+        if rest_s <= 0.0 or waiting.can_meet_objective(now_s + rest_s):
             return False
         self._refuse(pool, waiting, ResultCode.TARGETS_RESTING, rest_s, now_s)
         return True
@@ -164,13 +166,13 @@
     def _judge_waiting(self, pool: Pool, now_s: float) -> None:
         """Refuse who can no longer be served in time, the later ones first."""
         has_targets = bool(pool.list_usable())
-        ordered = pool.waiting.list_shed()
+        ordered = pool.waiting.list_shed_order()
         turn_s = pool.measure_turn(now_s)
         for ahead, waiting in reversed(list(enumerate(ordered))):
             waited_here_s = now_s - waiting.arrived_s
             # What made it late before it came here is no reason to give it less time here: 12
             # requests of a scheduler that stood still were refused by the next one at once.
-            spent_s = 0.0 if waiting.came_late else waiting.work.spent_s
+            spent_s = 0.0 if waiting.arrived_late else waiting.work.spent_s
             waited_s = waited_here_s + spent_s
             wait_s = (ahead + 1) * turn_s
             if self._is_hopeless(pool, waiting, now_s):
@@ -180,17 +182,17 @@
                     self._refuse(pool, waiting, ResultCode.NO_TARGET, 1.0, now_s)
             elif self._refuse_resting(pool, waiting, now_s):
                 continue
-            elif not waiting.is_late and waiting.can_be_in_time(now_s):
+            elif not waiting.is_late and waiting.can_meet_objective(now_s):
                 self._judge_overtaken(pool, waiting, ahead, turn_s, now_s)
             elif waiting.is_late and waited_s > _MAX_LATE_WAIT * waiting.work.objective_s:
                 if self._should_be_late(pool, waiting, ahead, turn_s, now_s):
                     continue
                 self._refuse(pool, waiting, ResultCode.SHED_OVERLOAD, wait_s, now_s)
-            elif not waiting.is_late and not waiting.can_be_in_time(now_s):
+            elif not waiting.is_late and not waiting.can_meet_objective(now_s):
                 pool.waiting.mark_late(waiting)
 
     def _judge_overtaken(
-        self, pool: Pool, waiting: Waiting, ahead: int, turn_s: float, now_s: float
+        self, pool: Pool, waiting: WaitingRequest, ahead: int, turn_s: float, now_s: float
     ) -> None:
         """Refuse who was overtaken as soon as it is clear that no slot will come in time.
 
@@ -198,8 +200,8 @@
         time on two overloaded days of 9 hosts; done at any time, 4,560 and 5,083.
         """
         wait_s = (ahead + 1) * turn_s
-        margin_s = _OVERTAKEN_MARGIN * waiting.full_patience_s
-        if not waiting.can_be_in_time(now_s + wait_s - margin_s):
+        margin_s = _OVERTAKEN_MARGIN * waiting.full_slack_s
+        if not waiting.can_meet_objective(now_s + wait_s - margin_s):
             if self._should_be_late(pool, waiting, ahead, turn_s, now_s):
                 pool.waiting.mark_late(waiting)
                 return
@@ -207,7 +209,7 @@
             self._refuse(pool, waiting, ResultCode.SHED_OVERLOAD, total_s, now_s)
 
     def _refuse(
-        self, pool: Pool, waiting: Waiting, code: ResultCode, wait_s: float, now_s: float
+        self, pool: Pool, waiting: WaitingRequest, code: ResultCode, wait_s: float, now_s: float
     ) -> None:
         self._leave_queue(pool, waiting.work.request, now_s)
         if code is ResultCode.SHED_OVERLOAD and pool.is_limited(now_s):
@@ -216,7 +218,7 @@
         reason = f"waited_s={waited_s:.3f} expected_s={wait_s:.3f} queue={len(pool.waiting)}"
         if waiting.share is not UNSHARED:
             work = waiting.work
-            lead_s = pool.shares.measure_lead(work.tier, waiting.share)
+            lead_s = pool.shares.compute_lead(work.tier, waiting.share)
             reason += f" workspace={work.workspace} share_lead_s={lead_s:.3f}"
         self._decline(waiting.work, waiting.owner, code, wait_s, reason)
 
--- a/troutstand/core/choice.py
+++ b/troutstand/core/choice.py
@@ -12,7 +12,7 @@
     from troutstand.core.crashes import CrashBook
     from troutstand.core.pool import Pool
     from troutstand.core.reach import Reach
-    from troutstand.core.scheduling.waitingqueue import Waiting
+    from troutstand.core.scheduling.waitingqueue import WaitingRequest
     from troutstand.core.targetstate import TargetState
     from troutstand.generated.messages import RoutedWork
 
@@ -47,7 +47,7 @@
         self._spread = spread
 
     def choose(
-        self, pool: Pool, waiting: Waiting, open_: list[TargetState], now_s: float
+        self, pool: Pool, waiting: WaitingRequest, open_: list[TargetState], now_s: float
     ) -> TargetState | None:
         """Return the best of the open targets for a request, or None where none fits."""
         fitting = self._list_fitting(pool, waiting, open_, now_s)
@@ -76,7 +76,7 @@
         ]
 
     def choose_canary(
-        self, pool: Pool, waiting: Waiting, canaries: list[TargetState], now_s: float
+        self, pool: Pool, waiting: WaitingRequest, canaries: list[TargetState], now_s: float
     ) -> TargetState | None:
         """Return the target on trial that a request is sampled for, or None.
 
@@ -100,7 +100,7 @@
         return min(fitting, key=lambda t: samples.get(t.listed.target, 0), default=None)
 
     def _list_fitting(
-        self, pool: Pool, waiting: Waiting, open_: list[TargetState], now_s: float
+        self, pool: Pool, waiting: WaitingRequest, open_: list[TargetState], now_s: float
     ) -> list[TargetState]:
         work = waiting.work
         fitting = [t for t in open_ if self._may_get(pool, waiting, t, now_s)]
@@ -116,7 +116,9 @@
             return sound
         return fitting
 
-    def _may_get(self, pool: Pool, waiting: Waiting, state: TargetState, now_s: float) -> bool:
+    def _may_get(
+        self, pool: Pool, waiting: WaitingRequest, state: TargetState, now_s: float
+    ) -> bool:
         """Tell whether a target has room for a request, can be reached and may be asked."""
         return (
             state.has_memory(waiting.work, pool.memory_tokens)
@@ -125,7 +127,7 @@
         )
 
     def _prefer_trusted(
-        self, pool: Pool, waiting: Waiting, fitting: list[TargetState], now_s: float
+        self, pool: Pool, waiting: WaitingRequest, fitting: list[TargetState], now_s: float
     ) -> list[TargetState]:
         """Leave targets that lately turned requests away to single tries.
 
@@ -143,7 +145,7 @@
             return []
         return [t for t in fitting if t.may_try_doubted(now_s)]
 
-    def _has_trusted(self, pool: Pool, waiting: Waiting, now_s: float) -> bool:
+    def _has_trusted(self, pool: Pool, waiting: WaitingRequest, now_s: float) -> bool:
         """Tell whether a target without doubt is left to try, be it busy or not."""
         return any(
             not t.report.rest.is_doubted(now_s)
--- a/troutstand/core/dispatch.py
+++ b/troutstand/core/dispatch.py
@@ -8,6 +8,7 @@
 
 from typing import TYPE_CHECKING
 
+from troutstand.core.admissionqueue import AdmissionQueue
 from troutstand.core.choice import TargetChoice, find_way
 from troutstand.core.codes import ResultCode
 from troutstand.core.crashes import MAX_ALIKE, Blame, CrashBook
@@ -15,11 +16,10 @@
 from troutstand.core.pool import Pool
 from troutstand.core.quota import Judgement, Verdict
 from troutstand.core.reach import Reach
-from troutstand.core.refusing import RefusingQueue
 from troutstand.core.rollouts.admission import Standing
-from troutstand.core.scheduling.fairqueue import DEFAULT_WEIGHT, UNSHARED
 from troutstand.core.scheduling.options import LoadOptions
-from troutstand.core.scheduling.waitingqueue import Waiting
+from troutstand.core.scheduling.serviceshares import DEFAULT_WEIGHT, UNSHARED
+from troutstand.core.scheduling.waitingqueue import WaitingRequest
 from troutstand.core.targetstate import Running, TargetState
 from troutstand.generated.messages import Ending, Placed
 
@@ -30,7 +30,7 @@
     from troutstand.core.configuration import RouteTable
     from troutstand.core.quota import Quotas
     from troutstand.core.retries import RetryBudget
-    from troutstand.core.scheduling.fairqueue import ShareTag
+    from troutstand.core.scheduling.serviceshares import ShareTag
     from troutstand.generated.messages import (
         Ended,
         FirstByte,
@@ -44,7 +44,7 @@
 _MAX_LOOKED = 64
 
 
-class Dispatcher(RefusingQueue):
+class Dispatcher(AdmissionQueue):
     """Hold the queues and the targets of a whole site.
 
     Parameters
@@ -79,14 +79,14 @@
 
     # What is known of the site
 
-    def use_table(self, table: RouteTable, now_s: float) -> None:
+    def update_table(self, table: RouteTable, now_s: float) -> None:
         """Take a configuration."""
         workspaces = table.configuration.workspaces
         self.quotas.use_workspaces(workspaces, now_s)
-        self.use_weights({w.name: w.weight for w in workspaces})
+        self.update_weights({w.name: w.weight for w in workspaces})
         self.use_services(table)
 
-    def use_weights(self, weights: dict[str, float]) -> None:
+    def update_weights(self, weights: dict[str, float]) -> None:
         """Take the weights of workspaces in the shares of their tier."""
         self._weights = weights
 
@@ -135,7 +135,7 @@
         if self._options.protects_tiers:
             pool.note_arrival(work, now_s)
         share = self._enter_share(pool, work)
-        waiting = Waiting(work, owner, now_s, now_s + work.remaining_s, share=share)
+        waiting = WaitingRequest(work, owner, now_s, now_s + work.remaining_s, share=share)
         pool.waiting.add(waiting)
         self._serve_arrival(pool, waiting, now_s)
         if work.request in pool.waiting:
@@ -146,7 +146,7 @@
         if not self._options.shares_fairly:
             return UNSHARED
         weight = self._weights.get(work.workspace, DEFAULT_WEIGHT)
-        return pool.shares.enter(work.tier, work.workspace, pool.estimate_stay(work), weight)
+        return pool.shares.charge(work.tier, work.workspace, pool.estimate_stay(work), weight)
 
     def _is_kept_back(self, pool: Pool, work: RoutedWork, now_s: float) -> bool:
         """Tell whether a request is refused for the targets that ended under others like it.
@@ -172,7 +172,7 @@
                 if state.finish(request) is not None:
                     self._serve_from(pool, state, now_s)
 
-    def note_first(self, first: FirstByte, now_s: float) -> None:
+    def record_first_byte(self, first: FirstByte, now_s: float) -> None:
         """Learn that a target began to answer."""
         for pool in self.pools.values():
             state = pool.targets.get(first.target)
@@ -210,7 +210,7 @@
         for pool in self.pools.values():
             if self._options.protects_tiers:
                 pool.update_tiers(now_s)
-            pool.shares.tidy(now_s)
+            pool.shares.prune_idle(now_s)
             for state in pool.targets.values():
                 if now_s >= state.blocked_until_s or state.is_probed():
                     self._judge_silence(state, now_s)
@@ -243,8 +243,8 @@
                     # Nothing was measured, since the gateway's host was suspended.
                     return
                 pool.learn_hold(ended.total_s)
-                pool.headroom.note_hold(run.work.tier, ended.total_s, now_s)
-                pool.shares.correct(run.work.tier, run.work.workspace, run.share, ended.total_s)
+                pool.headroom.record_slot_time(run.work.tier, ended.total_s, now_s)
+                pool.shares.settle(run.work.tier, run.work.workspace, run.share, ended.total_s)
                 pool.forget_typical()
                 if run.work.prompt_tokens and ended.produced_events > 1:
                     decode_s = ended.total_s - max(0.0, ended.first_s)
@@ -263,14 +263,14 @@
             case Ending.left | Ending.kept_back:
                 pass
 
-    def _serve_arrival(self, pool: Pool, waiting: Waiting, now_s: float) -> None:
+    def _serve_arrival(self, pool: Pool, waiting: WaitingRequest, now_s: float) -> None:
         """Give a request that has just come a target, if one suits and none is before it.
 
         Those that wait have been looked at since the last event that could help them. Looked
         at again with each arrival, they took a quarter of a decider's processor time in
         bursts of 1,000 requests/s at 45 engines (4.82 to 3.64 s, `benchmarks/worstload.py`).
         """
-        if pool.waiting.count_before(waiting) < _MAX_PASSED:
+        if pool.waiting.count_placed_before(waiting) < _MAX_PASSED:
             self._serve(pool, [waiting], now_s, _MAX_PASSED)
 
     def _serve_queue(self, pool: Pool, now_s: float) -> None:
@@ -279,7 +279,7 @@
         After a few that no open target suits, the others wait for the next ticks.
         """
         if pool.waiting:
-            self._serve(pool, pool.waiting.list_placed(), now_s, _MAX_PASSED)
+            self._serve(pool, pool.waiting.list_placement_order(), now_s, _MAX_PASSED)
 
     def _serve_from(self, pool: Pool, state: TargetState, now_s: float) -> None:
         """Give the free slots of a target at which something happened to those who wait.
@@ -290,7 +290,7 @@
         """
         if not pool.waiting or not state.is_ready or not state.is_open(now_s):
             return
-        ordered = pool.waiting.list_placed()
+        ordered = pool.waiting.list_placement_order()
         match state.standing:
             case Standing.OPEN:
                 self._serve_open(pool, ordered, [state], [], now_s, _MAX_PASSED)
@@ -308,11 +308,13 @@
         """
         first = pool.next_looked if pool.next_looked < len(pool.waiting) else 0
         pool.next_looked = first + _MAX_LOOKED
-        some = pool.waiting.list_placed(first, _MAX_LOOKED)
+        some = pool.waiting.list_placement_order(first, _MAX_LOOKED)
         if some:
             self._serve(pool, some, now_s, len(some) + 1)
 
-    def _serve(self, pool: Pool, ordered: list[Waiting], now_s: float, most_passed: int) -> None:
+    def _serve(
+        self, pool: Pool, ordered: list[WaitingRequest], now_s: float, most_passed: int
+    ) -> None:
         open_ = pool.list_open(now_s)
         canaries = pool.list_canaries(now_s)
         if open_ or canaries:
@@ -321,7 +323,7 @@
     def _serve_open(
         self,
         pool: Pool,
-        ordered: list[Waiting],
+        ordered: list[WaitingRequest],
         open_: list[TargetState],
         canaries: list[TargetState],
         now_s: float,
@@ -361,11 +363,16 @@
                 return
 
     def _start(
-        self, pool: Pool, state: TargetState, waiting: Waiting, open_targets: int, now_s: float
+        self,
+        pool: Pool,
+        state: TargetState,
+        waiting: WaitingRequest,
+        open_targets: int,
+        now_s: float,
     ) -> None:
         work = waiting.work
         pool.waiting.pop(work.request)
-        pool.shares.start(work.tier, waiting.share)
+        pool.shares.advance_virtual_time(work.tier, waiting.share)
         expected_s = pool.estimate_first(state, work)
         uncached = state.count_uncached(work)
         ahead = state.backlog
--- a/troutstand/core/queue.py
+++ b/troutstand/core/fairqueue.py
@@ -20,7 +20,7 @@
 
 
 @dataclass
-class Waiting:
+class WaitingRequest:
     """Keep a request that waits for its target."""
 
     ask: PlacementAsk
@@ -42,37 +42,37 @@
     """Queue the requests of one tier for one model or service."""
 
     expected_s: float = 0.0
-    _queues: dict[str, deque[Waiting]] = field(default_factory=dict)
+    _queues: dict[str, deque[WaitingRequest]] = field(default_factory=dict)
     _shares: Shares = field(default_factory=Shares)
     _count: int = 0
 
     def __len__(self) -> int:
         return self._count
 
-    def __iter__(self) -> Iterator[Waiting]:
+    def __iter__(self) -> Iterator[WaitingRequest]:
         for queue in self._queues.values():
             yield from queue
 
-    def push(self, waiting: Waiting) -> None:
+    def push(self, waiting: WaitingRequest) -> None:
         """Add a request behind its workspace's earlier ones."""
         name = waiting.ask.workspace
         queue = self._queues.setdefault(name, deque())
         if not queue:
-            self._shares.lift(name)
+            self._shares.advance_idle(name)
         queue.append(waiting)
         self._count += 1
         self.expected_s += waiting.expected_s
 
-    def list_turns(self) -> list[str]:
+    def order_workspaces(self) -> list[str]:
         """Return the waiting workspaces, the one furthest behind its share first."""
-        return sorted(self._queues, key=self._shares.read)
+        return sorted(self._queues, key=self._shares.get_start_tag)
 
-    def peek(self, workspace: str, limit: int) -> list[Waiting]:
+    def peek(self, workspace: str, limit: int) -> list[WaitingRequest]:
         """Return a workspace's oldest requests."""
         queue = self._queues[workspace]
         return [queue[index] for index in range(min(limit, len(queue)))]
 
-    def remove(self, waiting: Waiting) -> None:
+    def remove(self, waiting: WaitingRequest) -> None:
         """Take a request out."""
         name = waiting.ask.workspace
         queue = self._queues[name]
@@ -85,7 +85,7 @@
         self._count -= 1
         self.expected_s = max(0.0, self.expected_s - waiting.expected_s) if self._count else 0.0
 
-    def charge(self, waiting: Waiting, weight: float) -> None:
+    def charge(self, waiting: WaitingRequest, weight: float) -> None:
         """Count a granted request against its workspace's share."""
         start_s = self._shares.charge(waiting.ask.workspace, waiting.expected_s / weight)
-        self._shares.note_served(start_s)
+        self._shares.advance_virtual_time(start_s)
--- a/troutstand/core/pool.py
+++ b/troutstand/core/pool.py
@@ -10,14 +10,18 @@
 
 from troutstand.core.rollouts.admission import Standing
 from troutstand.core.rollouts.trial import Trial, TypicalTimes
-from troutstand.core.scheduling.fairqueue import ServiceShares
 from troutstand.core.scheduling.headroom import Headroom
-from troutstand.core.scheduling.outcome import BusyTargets, Outcome, measure_risk
+from troutstand.core.scheduling.placementestimate import (
+    BusyTargets,
+    PlacementEstimate,
+    estimate_miss_risk,
+)
+from troutstand.core.scheduling.serviceshares import ServiceShares
 from troutstand.core.scheduling.waitingqueue import WaitingQueue, get_shed_tier
 from troutstand.core.speed import ReadingSpeed
 
 if TYPE_CHECKING:
-    from troutstand.core.scheduling.waitingqueue import Waiting
+    from troutstand.core.scheduling.waitingqueue import WaitingRequest
     from troutstand.core.targetstate import Running, TargetState
     from troutstand.generated.messages import RoutedWork
 
@@ -170,7 +174,7 @@
         sound = self._list_sound(now_s)
         return bool(sound) and all(t.report.pace is not None for t in sound)
 
-    def estimate_late_wait(self, waiting: Waiting, ahead: int, turn_s: float) -> float:
+    def estimate_late_wait(self, waiting: WaitingRequest, ahead: int, turn_s: float) -> float:
         """Return the seconds until a late request gets a slot.
 
         Those of its tier and above that can be in time come before it, also the ones that
@@ -179,7 +183,7 @@
         if not turn_s:
             return 0.0
         per_s = 1.0 / turn_s
-        left_per_s = per_s - self.headroom.measure_rate(waiting.work.tier)
+        left_per_s = per_s - self.headroom.estimate_rate(waiting.work.tier)
         return (ahead + 1) / max(left_per_s, _LATE_SHARE * per_s)
 
     def estimate_first(self, state: TargetState, work: RoutedWork) -> float:
@@ -192,41 +196,43 @@
         """Return the seconds that a target takes for a token of an answer."""
         return self._know(state, "token_s", _GUESS_TOKEN_S)
 
-    def estimate_cost(self, state: TargetState, waiting: Waiting, now_s: float) -> float:
+    def estimate_cost(self, state: TargetState, waiting: WaitingRequest, now_s: float) -> float:
         """Return what giving a request to a target costs, in seconds; the least is best."""
         outcome = self.expect(state, waiting, now_s)
         far = state.listed.failure_domain != waiting.work.failure_domain
         far_s = _FAR_S if far else 0.0
         connect_s = 0.0 if state.has_connection(waiting.owner, now_s) else _CONNECT_S
-        held_s = _OCCUPANCY_WEIGHT * outcome.held_s
+        held_s = _OCCUPANCY_WEIGHT * outcome.occupancy_s
         fault_s = _FAULT_PENALTY_S * (1.0 - state.success)
-        risk_s = _RISK_S * (outcome.first_risk + outcome.rest_risk + outcome.others_risk)
+        risk_s = _RISK_S * (outcome.first_byte_risk + outcome.stream_risk + outcome.others_risk)
         return outcome.first_s + far_s + connect_s + held_s + fault_s + risk_s
 
-    def expect(self, state: TargetState, waiting: Waiting, now_s: float) -> Outcome:
+    def expect(
+        self, state: TargetState, waiting: WaitingRequest, now_s: float
+    ) -> PlacementEstimate:
         """Estimate what comes of giving a request to a target."""
         work = waiting.work
         if not work.prompt_tokens:
             first_s = self._know(state, "service_s", _GUESS_SERVICE_S)
             busy = len(state.running) / max(1, state.listed.slots)
-            first_risk = measure_risk(first_s, waiting.due_s - now_s)
-            return Outcome(first_s, first_s * busy, first_risk)
+            first_risk = estimate_miss_risk(first_s, waiting.due_s - now_s)
+            return PlacementEstimate(first_s, first_s * busy, first_risk)
         reading = self.know_reading(state)
         to_read = state.count_uncached(work) + state.backlog
         first_s = reading.estimate(to_read)
         token_s = self.know_token(state)
         held_s = token_s * max(1, work.output_tokens)
         event_s = token_s * self.stride
-        rest_risk = measure_risk(first_s + held_s, waiting.deadline_s - now_s)
-        rest_risk += measure_risk(event_s, work.pause_s)
+        rest_risk = estimate_miss_risk(first_s + held_s, waiting.deadline_s - now_s)
+        rest_risk += estimate_miss_risk(event_s, work.pause_s)
         # While prompts are read, the tokens of the others come slower.
         between_events = min(to_read, float(self.stride * _READ_AT_ONCE_TOKENS))
         pause_s = event_s + reading.per_token_s * between_events
         others = sum(
-            count * measure_risk(pause_s, limit_s) for limit_s, count in state.pauses.items()
+            count * estimate_miss_risk(pause_s, limit_s) for limit_s, count in state.pauses.items()
         )
-        first_risk = measure_risk(first_s, waiting.due_s - now_s)
-        return Outcome(first_s, held_s, first_risk, min(1.0, rest_risk), others)
+        first_risk = estimate_miss_risk(first_s, waiting.due_s - now_s)
+        return PlacementEstimate(first_s, held_s, first_risk, min(1.0, rest_risk), others)
 
     def know_reading(self, state: TargetState) -> ReadingSpeed:
         """Return how fast a target reads prompts, or what its like show, or a guess."""
@@ -291,7 +297,7 @@
         hold_s = self.hold_s or _GUESS_HOLD_S
         return BusyTargets(
             count=len(busy),
-            turn_s=hold_s / slots if slots else float("inf"),
+            slot_interval_s=hold_s / slots if slots else float("inf"),
             reading=min(
                 (self.know_reading(t) for t in busy),
                 key=lambda speed: speed.per_token_s,
@@ -303,7 +309,7 @@
         )
 
     def should_wait(
-        self, state: TargetState, waiting: Waiting, busy: BusyTargets, now_s: float
+        self, state: TargetState, waiting: WaitingRequest, busy: BusyTargets, now_s: float
     ) -> bool:
         """Tell whether a busy target puts fewer answers at risk than an open one."""
         if not busy.count:
@@ -315,18 +321,18 @@
         work = waiting.work
         is_prompt = bool(work.prompt_tokens)
         alone_s = busy.reading.estimate(work.prompt_tokens) if is_prompt else busy.service_s
-        risk_there = measure_risk(busy.turn_s + alone_s, waiting.due_s - now_s)
-        return risk_there + _WORTH_WAITING < outcome.first_risk + outcome.others_risk
+        risk_there = estimate_miss_risk(busy.slot_interval_s + alone_s, waiting.due_s - now_s)
+        return risk_there + _WORTH_WAITING < outcome.first_byte_risk + outcome.others_risk
 
-    def judge_time(self, waiting: Waiting) -> None:
+    def judge_time(self, waiting: WaitingRequest) -> None:
         """Estimate how long a request may wait and still be in time."""
         work = waiting.work
         sound = self._list_sound(waiting.arrived_s)
         least = [self._estimate_firsts(t, work) for t in sound]
         first_s = min((first_s for first_s, _ in least), default=0.0)
-        waiting.full_patience_s = max(0.0, _IN_TIME_SHARE * work.objective_s - first_s)
-        waiting.patience_s = max(0.0, waiting.full_patience_s - work.spent_s)
-        waiting.least_first_s = min((alone_s for _, alone_s in least), default=0.0)
+        waiting.full_slack_s = max(0.0, _IN_TIME_SHARE * work.objective_s - first_s)
+        waiting.slack_s = max(0.0, waiting.full_slack_s - work.spent_s)
+        waiting.min_first_byte_s = min((alone_s for _, alone_s in least), default=0.0)
 
     def _estimate_firsts(self, state: TargetState, work: RoutedWork) -> tuple[float, float]:
         """Return the seconds until a first byte, as the target is and without other prompts."""
@@ -346,7 +352,7 @@
     def note_arrival(self, work: RoutedWork, now_s: float) -> None:
         """Count a request among those that its tier asks for."""
         patience_s = _IN_TIME_SHARE * work.objective_s - self._estimate_typical_first(work)
-        self.headroom.note_arrival(work.tier, max(0.0, patience_s), now_s)
+        self.headroom.record_arrival(work.tier, max(0.0, patience_s), now_s)
 
     def _estimate_typical_first(self, work: RoutedWork) -> float:
         """Return the seconds until a typical target's first byte for a request."""
@@ -363,7 +369,7 @@
         waiting = (waiting.work for waiting in self.waiting.list_all())
         self.lowest_tier = max((get_shed_tier(w) for w in (*running, *waiting)), default=None)
 
-    def has_lower(self, waiting: Waiting) -> bool:
+    def has_lower(self, waiting: WaitingRequest) -> bool:
         """Tell whether requests that are refused before one run or wait."""
         return self.lowest_tier is not None and self.lowest_tier > get_shed_tier(waiting.work)
 
@@ -371,7 +377,7 @@
         """Return how many free slots a tier must leave to those above; by default the lowest."""
         if tier is None:
             tier = self.headroom.lowest_tier
-        wanted = self.headroom.count_wanted(tier, self.measure_turn(now_s))
+        wanted = self.headroom.estimate_needed_slots(tier, self.measure_turn(now_s))
         if wanted <= 0.0:
             return 0
         usable = self.list_usable()
--- a/troutstand/core/scheduler.py
+++ b/troutstand/core/scheduler.py
@@ -12,11 +12,11 @@
 from troutstand.core.codes import ResultCode
 from troutstand.core.crashes import MAX_ALIKE, Blame, CrashBook
 from troutstand.core.estimate import Health
+from troutstand.core.fairqueue import FairQueue, WaitingRequest
 from troutstand.core.ids import RequestId
 from troutstand.core.load import PoolKey
 from troutstand.core.policy import Choice, Policy, PolicyName
 from troutstand.core.prefix import Prefixes
-from troutstand.core.queue import FairQueue, Waiting
 from troutstand.core.retry import MIN_RETRY_S
 from troutstand.core.shedding import PREEMPT_MARGIN_S, Send, SheddingQueue, to_ms
 from troutstand.generated.messages import (
@@ -126,7 +126,7 @@
             self._dequeue(waiting)
         return [self._quarantine(waiting, now_s) for waiting in refused]
 
-    def take_report(self, report: RunningReport, now_s: float) -> list[Send]:
+    def apply_report(self, report: RunningReport, now_s: float) -> list[Send]:
         """Take over what an entry process runs by an earlier scheduler's grants."""
         for item in report.running:
             target = self.targets.get(item.target)
@@ -140,7 +140,7 @@
         self.crashes.inherit(report.crashes, now_s)
         return self._take_notices(report.notices, now_s)
 
-    def take_notices(self, notices: TargetNotices, now_s: float) -> list[Send]:
+    def apply_notices(self, notices: TargetNotices, now_s: float) -> list[Send]:
         """Take what targets said of themselves to an entry process."""
         return self._take_notices(notices.notices, now_s)
 
@@ -151,7 +151,7 @@
                 self._news.append(notice)
         return self._place(now_s)
 
-    def take_news(self) -> list[TargetNotice]:
+    def drain_new_notices(self) -> list[TargetNotice]:
         """Return what targets said that is news since the last call, for the log."""
         news, self._news = self._news, []
         return news
@@ -181,11 +181,13 @@
 
     def _make_waiting(
         self, process: str, ask: PlacementAsk, tier: Tier, prefixes: Prefixes, now_s: float
-    ) -> Waiting:
+    ) -> WaitingRequest:
         expected_s = self._expect_run_s(ask)
         patience_s = min(tier.first_token_s, tier.deadline_s - expected_s)
         patience_s = min(max(patience_s, 0.0), ask.wait_ms / _MILLISECONDS)
-        return Waiting(ask, process, tier.rank, prefixes, now_s, now_s + patience_s, expected_s)
+        return WaitingRequest(
+            ask, process, tier.rank, prefixes, now_s, now_s + patience_s, expected_s
+        )
 
     def _expect_run_s(self, ask: PlacementAsk) -> float:
         pool = self._pools.get(ask.serves, [])
@@ -195,7 +197,7 @@
         prefill_s = ask.prompt_tokens / fastest.prefill_tokens_per_s
         return prefill_s + fastest.estimate_decode_s(ask.answer_tokens)
 
-    def _check_admission(self, waiting: Waiting, now_s: float) -> Send | None:
+    def _check_admission(self, waiting: WaitingRequest, now_s: float) -> Send | None:
         ask = waiting.ask
         if self._is_kept_back(ask, now_s):
             return self._quarantine(waiting, now_s)
@@ -234,7 +236,7 @@
         runs = (run for target in self.targets.values() for run in target.running.values())
         return [run.ask.fingerprint for run in runs]
 
-    def _quarantine(self, waiting: Waiting, now_s: float) -> Send:
+    def _quarantine(self, waiting: WaitingRequest, now_s: float) -> Send:
         quarantine = self.crashes.explain(waiting.ask.fingerprint, now_s)
         shed = Shed(
             waiting.ask.request,
@@ -245,7 +247,7 @@
         )
         return Send(waiting.process, shed)
 
-    def _make_room(self, waiting: Waiting, now_s: float) -> list[Send]:
+    def _make_room(self, waiting: WaitingRequest, now_s: float) -> list[Send]:
         """Shed where the queue is full or the newcomer cannot start in time."""
         if len(self._waiting) > self._waiting_limit:
             return self._shed_lowest(waiting, ResultCode.QUEUE_FULL, now_s)
@@ -276,7 +278,7 @@
         return sends
 
     def _grant_next(self, queue: FairQueue, now_s: float) -> Send | None:
-        for workspace in queue.list_turns():
+        for workspace in queue.order_workspaces():
             use = self._workspaces.get(workspace)
             if use and use.is_full():
                 continue
@@ -287,7 +289,7 @@
                     return self._grant(waiting, choice, weight, now_s)
         return None
 
-    def _choose(self, waiting: Waiting, now_s: float) -> Choice | None:
+    def _choose(self, waiting: WaitingRequest, now_s: float) -> Choice | None:
         """Choose among the targets with a free slot; None while the best still prefills.
 
         A target is given one prefill at a time, so that what waits for it waits
@@ -313,7 +315,7 @@
             and self.crashes.suits_trial(run.ask.fingerprint for run in target.running.values())
         ]
 
-    def _grant(self, waiting: Waiting, choice: Choice, weight: float, now_s: float) -> Send:
+    def _grant(self, waiting: WaitingRequest, choice: Choice, weight: float, now_s: float) -> Send:
         self._queues[PoolKey(waiting.rank, waiting.ask.serves)].charge(waiting, weight)
         self._dequeue(waiting)
         target = choice.target
--- a/troutstand/core/scheduling/headroom.py
+++ b/troutstand/core/scheduling/headroom.py
@@ -43,7 +43,7 @@
     recent: float = 0.0
     noted_s: float = 0.0
     hold_s: float | None = None
-    patience_s: float = 0.0
+    slack_s: float = 0.0
 
     def fade(self, now_s: float) -> None:
         """Weight the arrivals so far by their age."""
@@ -69,7 +69,7 @@
     """Sum up a tier and all above it."""
 
     demand: float
-    patience_s: float
+    slack_s: float
     per_s: float
 
 
@@ -87,15 +87,15 @@
         """Return the lowest tier that is expected; 0 where none is."""
         return self._tiers[-1] if self._tiers else 0
 
-    def note_arrival(self, tier: int, patience_s: float, now_s: float) -> None:
+    def record_arrival(self, tier: int, patience_s: float, now_s: float) -> None:
         """Count a request that may wait for a time and still be in time."""
         load = self._loads.setdefault(tier, TierLoad(noted_s=now_s))
         load.fade(now_s)
         load.arrivals += 1.0
         load.recent += 1.0
-        load.patience_s = patience_s
+        load.slack_s = patience_s
 
-    def note_hold(self, tier: int, hold_s: float, now_s: float) -> None:
+    def record_slot_time(self, tier: int, hold_s: float, now_s: float) -> None:
         """Learn for how long a request of a tier kept its slot."""
         load = self._loads.get(tier)
         if load is None:
@@ -115,17 +115,17 @@
                 del self._loads[tier]
         self._tiers = sorted(self._loads)
         above = [
-            _Above(load.measure_demand(), load.patience_s, load.measure_rate())
+            _Above(load.measure_demand(), load.slack_s, load.measure_rate())
             for load in (self._loads[tier] for tier in self._tiers)
         ]
         self._sums = list(accumulate(above, _add))
 
-    def measure_rate(self, tier: int) -> float:
+    def estimate_rate(self, tier: int) -> float:
         """Return the requests a second that come of a tier and those above, at the update."""
         position = bisect_right(self._tiers, tier)
         return self._sums[position - 1].per_s if position else 0.0
 
-    def count_wanted(self, tier: int, turn_s: float) -> float:
+    def estimate_needed_slots(self, tier: int, turn_s: float) -> float:
         """Return the slots that tiers above one want beside those that become free in time.
 
         Parameters
@@ -138,7 +138,7 @@
             return 0.0
         above = self._sums[position - 1]
         wanted = above.demand + _DEVIATIONS * math.sqrt(above.demand)
-        ends = above.patience_s / turn_s
+        ends = above.slack_s / turn_s
         return max(0.0, wanted - max(0.0, ends - _DEVIATIONS * math.sqrt(ends)))
 
 
@@ -146,6 +146,6 @@
     """Add a tier to those above it; the least patient of them sets the time."""
     return _Above(
         above.demand + own.demand,
-        min(above.patience_s, own.patience_s),
+        min(above.slack_s, own.slack_s),
         above.per_s + own.per_s,
     )
--- a/troutstand/core/scheduling/outcome.py
+++ b/troutstand/core/scheduling/placementestimate.py
@@ -19,13 +19,13 @@
     """Tell what waiting for a busy target would bring; times in seconds."""
 
     count: int
-    turn_s: float
+    slot_interval_s: float
     reading: ReadingSpeed
     service_s: float
 
 
 @dataclass(slots=True)
-class Outcome:
+class PlacementEstimate:
     """Tell what is expected to come of a placement; times in seconds.
 
     Parameters
@@ -43,13 +43,13 @@
     """
 
     first_s: float
-    held_s: float
-    first_risk: float
-    rest_risk: float = 0.0
+    occupancy_s: float
+    first_byte_risk: float
+    stream_risk: float = 0.0
     others_risk: float = 0.0
 
 
-def measure_risk(expected_s: float, limit_s: float) -> float:
+def estimate_miss_risk(expected_s: float, limit_s: float) -> float:
     """Return the chance that a limit is missed, from an expected time; 0 is no limit."""
     if limit_s == 0.0:
         return 0.0
--- a/troutstand/core/scheduling/fairqueue.py
+++ b/troutstand/core/scheduling/serviceshares.py
@@ -50,39 +50,39 @@
     _tiers: dict[int, Shares] = field(default_factory=dict)
     _tidied_s: float = float("-inf")
 
-    def enter(self, tier: int, workspace: str, expected_s: float, weight: float) -> ShareTag:
+    def charge(self, tier: int, workspace: str, expected_s: float, weight: float) -> ShareTag:
         """Charge a workspace for a request that has come, and return its place."""
         shares = self._tiers.setdefault(tier, Shares())
-        shares.lift(workspace)
+        shares.advance_idle(workspace)
         charged_s = expected_s / weight
         return ShareTag(shares.charge(workspace, charged_s), charged_s, weight)
 
-    def leave(self, tier: int, workspace: str, tag: ShareTag) -> None:
+    def refund(self, tier: int, workspace: str, tag: ShareTag) -> None:
         """Give back the charge of a request that got no slot."""
         if tag is not UNSHARED:
-            self._tiers[tier].give_back(workspace, tag.charged_s)
+            self._tiers[tier].refund(workspace, tag.charged_s)
 
-    def start(self, tier: int, tag: ShareTag) -> None:
+    def advance_virtual_time(self, tier: int, tag: ShareTag) -> None:
         """Note that a request gets its slot."""
         if tag is not UNSHARED:
-            self._tiers[tier].note_served(tag.start_s)
+            self._tiers[tier].advance_virtual_time(tag.start_s)
 
-    def correct(self, tier: int, workspace: str, tag: ShareTag, held_s: float) -> None:
+    def settle(self, tier: int, workspace: str, tag: ShareTag, held_s: float) -> None:
         """Charge the time that a request kept its slot in place of the expected one."""
         if tag is not UNSHARED:
-            self._tiers[tier].give_back(workspace, tag.charged_s - held_s / tag.weight)
+            self._tiers[tier].refund(workspace, tag.charged_s - held_s / tag.weight)
 
-    def measure_lead(self, tier: int, tag: ShareTag) -> float:
+    def compute_lead(self, tier: int, tag: ShareTag) -> float:
         """Return by how much a request is ahead of its tier's virtual time, in seconds."""
-        return max(0.0, tag.start_s - self._tiers[tier].passed_s)
+        return max(0.0, tag.start_s - self._tiers[tier].virtual_time_s)
 
-    def tidy(self, now_s: float) -> None:
+    def prune_idle(self, now_s: float) -> None:
         """Drop the workspaces that are ahead of nobody, once in a while."""
         if now_s - self._tidied_s < _TIDY_S:
             return
         self._tidied_s = now_s
         for shares in self._tiers.values():
-            shares.forget_idle()
+            shares.drop_idle()
 
     def list_leads(self) -> dict[int, dict[str, float]]:
         """Return by tier how far workspaces are ahead of the least served, in seconds."""
--- a/troutstand/core/scheduling/shares.py
+++ b/troutstand/core/scheduling/shares.py
@@ -16,37 +16,37 @@
 class Shares:
     """Follow what each workspace was given, in seconds of service for a weight of 1."""
 
-    passed_s: float = 0.0
+    virtual_time_s: float = 0.0
     _given_s: dict[str, float] = field(default_factory=dict)
 
-    def lift(self, workspace: str) -> None:
+    def advance_idle(self, workspace: str) -> None:
         """Bring a workspace that was idle up to the virtual time."""
-        self._given_s[workspace] = max(self._given_s.get(workspace, 0.0), self.passed_s)
+        self._given_s[workspace] = max(self._given_s.get(workspace, 0.0), self.virtual_time_s)
 
-    def read(self, workspace: str) -> float:
+    def get_start_tag(self, workspace: str) -> float:
         """Return the start tag of a workspace's next request."""
-        return self._given_s.get(workspace, self.passed_s)
+        return self._given_s.get(workspace, self.virtual_time_s)
 
     def charge(self, workspace: str, amount_s: float) -> float:
         """Charge service that is divided by the weight already; return its start tag."""
-        start_s = self.read(workspace)
+        start_s = self.get_start_tag(workspace)
         self._given_s[workspace] = start_s + amount_s
         return start_s
 
-    def give_back(self, workspace: str, amount_s: float) -> None:
+    def refund(self, workspace: str, amount_s: float) -> None:
         """Take back a charge, or a part of it, for service that was not given."""
-        self._given_s[workspace] = self.read(workspace) - amount_s
+        self._given_s[workspace] = self.get_start_tag(workspace) - amount_s
 
-    def note_served(self, start_s: float) -> None:
+    def advance_virtual_time(self, start_s: float) -> None:
         """Move the virtual time on to the start tag of a request that gets its slot."""
-        self.passed_s = max(self.passed_s, start_s)
+        self.virtual_time_s = max(self.virtual_time_s, start_s)
 
     def list_leads(self) -> dict[str, float]:
         """Return the workspaces that are ahead of the virtual time, and by how many seconds."""
-        passed_s = self.passed_s
+        passed_s = self.virtual_time_s
         return {name: s - passed_s for name, s in self._given_s.items() if s > passed_s}
 
-    def forget_idle(self) -> None:
+    def drop_idle(self) -> None:
         """Drop the workspaces that would be lifted by their next request anyway."""
-        ahead = {name: s for name, s in self._given_s.items() if s > self.passed_s}
+        ahead = {name: s for name, s in self._given_s.items() if s > self.virtual_time_s}
         self._given_s = ahead
--- a/troutstand/core/scheduling/waitingqueue.py
+++ b/troutstand/core/scheduling/waitingqueue.py
@@ -11,7 +11,7 @@
 from itertools import count
 from typing import TYPE_CHECKING
 
-from troutstand.core.scheduling.fairqueue import UNSHARED, ShareTag
+from troutstand.core.scheduling.serviceshares import UNSHARED, ShareTag
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
@@ -30,7 +30,7 @@
 
 
 @dataclass
-class Waiting:
+class WaitingRequest:
     """Hold a request that has no target yet; times in seconds."""
 
     work: RoutedWork
@@ -39,11 +39,11 @@
     deadline_s: float
     is_late: bool = False
     # How long it may wait and still be in time, as estimated when it arrived.
-    patience_s: float = 0.0
+    slack_s: float = 0.0
     # The same, had it just come from its caller.
-    full_patience_s: float = 0.0
+    full_slack_s: float = 0.0
     # The least that a target needs until its first byte, as estimated when it arrived.
-    least_first_s: float = 0.0
+    min_first_byte_s: float = 0.0
     # Where its workspace's share puts it, and what it was charged; 0 without fair sharing.
     share: ShareTag = UNSHARED
 
@@ -67,7 +67,7 @@
         return self.arrived_s + self.work.objective_s - self.work.spent_s
 
     @property
-    def answer_by_s(self) -> float:
+    def first_byte_deadline_s(self) -> float:
         """Return until when the first byte must come: later its caller has left."""
         silence_s = self.work.silence_s
         if not silence_s:
@@ -75,13 +75,13 @@
         return min(self.deadline_s, self.arrived_s + silence_s - self.work.spent_s)
 
     @property
-    def came_late(self) -> bool:
+    def arrived_late(self) -> bool:
         """Tell whether it could not be in time any more when it came."""
-        return not self.can_be_in_time(self.arrived_s)
+        return not self.can_meet_objective(self.arrived_s)
 
-    def can_be_in_time(self, now_s: float) -> bool:
+    def can_meet_objective(self, now_s: float) -> bool:
         """Tell whether a target that got the request now could still be in time."""
-        return now_s + self.least_first_s <= self.due_s
+        return now_s + self.min_first_byte_s <= self.due_s
 
     def mark_late(self) -> None:
         """Take the rank of those that cannot be in time; a queue that holds it must know."""
@@ -93,10 +93,10 @@
     """Hold those that wait by request, in the order of placements and of refusals."""
 
     def __init__(self) -> None:
-        self._waiting: dict[str, Waiting] = {}
+        self._waiting: dict[str, WaitingRequest] = {}
         self._numbers = count()
         self._numbered: dict[str, int] = {}
-        self._by_number: dict[int, Waiting] = {}
+        self._by_number: dict[int, WaitingRequest] = {}
         self._placed: list[_Key] = []
         self._shed: list[_Key] = []
 
@@ -109,11 +109,11 @@
     def __iter__(self) -> Iterator[str]:
         return iter(self._waiting)
 
-    def list_all(self) -> list[Waiting]:
+    def list_all(self) -> list[WaitingRequest]:
         """Return all that wait, in the order in which they came."""
         return list(self._waiting.values())
 
-    def add(self, waiting: Waiting) -> None:
+    def add(self, waiting: WaitingRequest) -> None:
         """Take a request in."""
         request = waiting.work.request
         self.pop(request)
@@ -124,7 +124,7 @@
         insort(self._placed, (waiting.rank, number))
         insort(self._shed, (waiting.shed_rank, number))
 
-    def pop(self, request: str) -> Waiting | None:
+    def pop(self, request: str) -> WaitingRequest | None:
         """Take a request out and return it; None where it does not wait."""
         waiting = self._waiting.pop(request, None)
         if waiting is None:
@@ -135,7 +135,7 @@
         _remove(self._shed, (waiting.shed_rank, number))
         return waiting
 
-    def mark_late(self, waiting: Waiting) -> None:
+    def mark_late(self, waiting: WaitingRequest) -> None:
         """Put a request behind those of its tier that can be in time."""
         number = self._numbered[waiting.work.request]
         _remove(self._placed, (waiting.rank, number))
@@ -144,20 +144,20 @@
         insort(self._placed, (waiting.rank, number))
         insort(self._shed, (waiting.shed_rank, number))
 
-    def list_placed(self, first: int = 0, most: int | None = None) -> list[Waiting]:
+    def list_placement_order(self, first: int = 0, most: int | None = None) -> list[WaitingRequest]:
         """Return those that wait in the order of placements, or some of them."""
         end = None if most is None else first + most
         return [self._by_number[number] for _, number in self._placed[first:end]]
 
-    def list_shed(self) -> list[Waiting]:
+    def list_shed_order(self) -> list[WaitingRequest]:
         """Return those that wait, who is refused last first."""
         return [self._by_number[number] for _, number in self._shed]
 
-    def count_before(self, waiting: Waiting) -> int:
+    def count_placed_before(self, waiting: WaitingRequest) -> int:
         """Return how many others are placed before a request that waits."""
         return _count(self._placed, waiting.rank) - 1
 
-    def count_ahead(self, waiting: Waiting) -> int:
+    def count_shed_after(self, waiting: WaitingRequest) -> int:
         """Return how many others are refused after a request that waits."""
         return _count(self._shed, waiting.shed_rank) - 1
 
--- a/troutstand/core/shedding.py
+++ b/troutstand/core/shedding.py
@@ -8,9 +8,9 @@
 
 from troutstand.core.codes import ResultCode
 from troutstand.core.domainview import DomainView
+from troutstand.core.fairqueue import FairQueue, WaitingRequest
 from troutstand.core.ids import RequestId
 from troutstand.core.load import PoolKey, TierCount
-from troutstand.core.queue import FairQueue, Waiting
 from troutstand.core.retry import RetrySpread
 from troutstand.generated.messages import Grant, Preempt, Shed
 
@@ -44,7 +44,7 @@
         super().__init__(failure_domain)
         self.inversions = 0
         self._queues: dict[PoolKey, FairQueue] = {}
-        self._waiting: dict[RequestId, Waiting] = {}
+        self._waiting: dict[RequestId, WaitingRequest] = {}
         self._retry = RetrySpread(seed)
 
     @property
@@ -64,16 +64,16 @@
         """Tell whether a request waits here."""
         return RequestId(request) in self._waiting
 
-    def _enqueue(self, waiting: Waiting) -> None:
+    def _enqueue(self, waiting: WaitingRequest) -> None:
         key = PoolKey(waiting.rank, waiting.ask.serves)
         self._queues.setdefault(key, FairQueue()).push(waiting)
         self._waiting[waiting.request] = waiting
 
-    def _dequeue(self, waiting: Waiting) -> None:
+    def _dequeue(self, waiting: WaitingRequest) -> None:
         self._queues[PoolKey(waiting.rank, waiting.ask.serves)].remove(waiting)
         del self._waiting[waiting.request]
 
-    def _estimate_wait_s(self, waiting: Waiting, now_s: float) -> float:
+    def _estimate_wait_s(self, waiting: WaitingRequest, now_s: float) -> float:
         """Estimate the wait behind everything of the same or a higher tier."""
         pool = self._pools.get(waiting.ask.serves, [])
         ahead = self._list_ahead(waiting)
@@ -85,7 +85,7 @@
         wait_s = work_s / max(1, _count_lasting_slots(pool))
         return max(wait_s, self._estimate_limit_s(waiting, now_s))
 
-    def _list_ahead(self, waiting: Waiting) -> list[FairQueue]:
+    def _list_ahead(self, waiting: WaitingRequest) -> list[FairQueue]:
         """Return the queues of the same and higher tiers."""
         return [
             queue
@@ -93,7 +93,7 @@
             if key.rank <= waiting.rank and key.serves == waiting.ask.serves
         ]
 
-    def _estimate_limit_s(self, waiting: Waiting, now_s: float) -> float:
+    def _estimate_limit_s(self, waiting: WaitingRequest, now_s: float) -> float:
         """Estimate the wait for the limits that all targets name; 0 where one names none."""
         if not self._is_limited(waiting.ask):
             return 0.0
@@ -104,7 +104,7 @@
 
     # Shedding, the lowest tier first
 
-    def _shed_lowest(self, waiting: Waiting, code: ResultCode, now_s: float) -> list[Send]:
+    def _shed_lowest(self, waiting: WaitingRequest, code: ResultCode, now_s: float) -> list[Send]:
         """Cancel lower running work for a request; shed it only where there is none.
 
         Lower waiting work gives way before it, the lowest first. None of it is
@@ -123,7 +123,7 @@
         sends = [self._drop(item, ResultCode.SHED_OVERLOAD, now_s) for item in lower]
         return [*sends, self._drop(waiting, code, now_s)]
 
-    def _find_lower_waiting(self, waiting: Waiting) -> list[Waiting]:
+    def _find_lower_waiting(self, waiting: WaitingRequest) -> list[WaitingRequest]:
         if all(key.rank <= waiting.rank for key, queue in self._queues.items() if queue):
             return []
         usable = {target.row.name for target in self._list_usable(waiting.ask)}
@@ -134,7 +134,7 @@
             and any(target.row.name in usable for target in self._list_usable(item.ask))
         ]
 
-    def _list_lower_running(self, waiting: Waiting, now_s: float) -> list[Running]:
+    def _list_lower_running(self, waiting: WaitingRequest, now_s: float) -> list[Running]:
         """Return the lower running work whose place a request could take.
 
         The place of work at a target whose limit leaves no room is no place.
@@ -147,7 +147,7 @@
             if run.rank > waiting.rank and not run.preempted
         ]
 
-    def _find_lower_running(self, waiting: Waiting, now_s: float) -> Running | None:
+    def _find_lower_running(self, waiting: WaitingRequest, now_s: float) -> Running | None:
         found = self._list_lower_running(waiting, now_s)
         lower = [run for run in found if self.targets[run.target].row.cancels]
         return max(lower, key=lambda run: (run.rank, run.granted_s), default=None)
@@ -157,7 +157,7 @@
         retry_s = self._retry.spread_s(run.expected_s)
         return Send(run.process, Preempt(run.ask.request, to_ms(retry_s)))
 
-    def _press(self, waiting: Waiting, now_s: float) -> list[Send]:
+    def _press(self, waiting: WaitingRequest, now_s: float) -> list[Send]:
         if now_s >= waiting.latest_start_s:
             return self._shed_lowest(waiting, self._explain_wait(waiting), now_s)
         run = self._find_lower_running(waiting, now_s)
@@ -170,20 +170,20 @@
             return []
         return [self._preempt(run, now_s)]
 
-    def _explain_wait(self, waiting: Waiting) -> ResultCode:
+    def _explain_wait(self, waiting: WaitingRequest) -> ResultCode:
         use = self._workspaces.get(waiting.ask.workspace)
         if use and use.is_full():
             return ResultCode.WORKSPACE_LIMIT
         return ResultCode.SHED_DEADLINE
 
-    def _drop(self, waiting: Waiting, code: ResultCode, now_s: float) -> Send:
+    def _drop(self, waiting: WaitingRequest, code: ResultCode, now_s: float) -> Send:
         limit_s = self._estimate_limit_s(waiting, now_s)
         self._dequeue(waiting)
         retry_s = max(limit_s, self._estimate_wait_s(waiting, now_s))
         waited_ms = to_ms(now_s - waiting.submitted_s)
         return self._shed(waiting, code, retry_s, f"tier={waiting.ask.tier} waited_ms={waited_ms}")
 
-    def _shed(self, waiting: Waiting, code: ResultCode, retry_s: float, detail: str) -> Send:
+    def _shed(self, waiting: WaitingRequest, code: ResultCode, retry_s: float, detail: str) -> Send:
         retry_ms = to_ms(self._retry.spread_s(retry_s))
         return Send(waiting.process, Shed(waiting.ask.request, int(code), retry_ms, detail))
 
--- a/troutstand/core/targetstate.py
+++ b/troutstand/core/targetstate.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from troutstand.core.rollouts.admission import Standing
-from troutstand.core.scheduling.fairqueue import UNSHARED, ShareTag
+from troutstand.core.scheduling.serviceshares import UNSHARED, ShareTag
 from troutstand.core.selfreport import SelfReport
 from troutstand.core.speed import ReadingFit, ReadingSpeed, ReadingSums, Speed
 from troutstand.generated.messages import ListedState
--- a/troutstand/core/trace.py
+++ b/troutstand/core/trace.py
@@ -128,13 +128,13 @@
         """Take the end of a granted request."""
         return self._record_message("", finished, now_s, super().finish(finished, now_s))
 
-    def take_report(self, report: RunningReport, now_s: float) -> list[Send]:
+    def apply_report(self, report: RunningReport, now_s: float) -> list[Send]:
         """Take over what an entry process runs."""
-        return self._record_message("", report, now_s, super().take_report(report, now_s))
+        return self._record_message("", report, now_s, super().apply_report(report, now_s))
 
-    def take_notices(self, notices: TargetNotices, now_s: float) -> list[Send]:
+    def apply_notices(self, notices: TargetNotices, now_s: float) -> list[Send]:
         """Take what targets said of themselves."""
-        return self._record_message("", notices, now_s, super().take_notices(notices, now_s))
+        return self._record_message("", notices, now_s, super().apply_notices(notices, now_s))
 
     def drop_process(self, process: str, now_s: float) -> list[Send]:
         """Forget the requests of an entry process."""
@@ -159,9 +159,9 @@
         case Finished():
             return scheduler.finish(step.message, step.at_s)
         case RunningReport():
-            return scheduler.take_report(step.message, step.at_s)
+            return scheduler.apply_report(step.message, step.at_s)
         case TargetNotices():
-            return scheduler.take_notices(step.message, step.at_s)
+            return scheduler.apply_notices(step.message, step.at_s)
 
 
 def _load_table(step: TableCame) -> Table:
--- a/troutstand/daemon/scheduling.py
+++ b/troutstand/daemon/scheduling.py
@@ -254,10 +254,10 @@
             case Finished():
                 sends = self.scheduler.finish(message, now_s)
             case RunningReport():
-                sends = self.scheduler.take_report(message, now_s)
+                sends = self.scheduler.apply_report(message, now_s)
             case TargetNotices():
-                sends = self.scheduler.take_notices(message, now_s)
-        for notice in self.scheduler.take_news():
+                sends = self.scheduler.apply_notices(message, now_s)
+        for notice in self.scheduler.drain_new_notices():
             emit_taken(self._node.events, peer, notice)
         self._dispatch(sends)
         return True
--- a/troutstand/routing/placement.py
+++ b/troutstand/routing/placement.py
@@ -98,7 +98,7 @@
         now_s = read_clock_s()
         local.use_limit_share(share, now_s)
         if self._table is not None:
-            local.use_table(self._table, now_s)
+            local.update_table(self._table, now_s)
         for level in self._levels:
             quotas.inherit(level.workspace, level.taken, share, now_s)
         local.inherit_holds(self._holds)
@@ -142,7 +142,7 @@
         now_s = read_clock_s()
         # As at schedulers, so that versions that nobody ordered get nothing from the start.
         self._follow_rollouts(self._local, now_s)
-        self._local.use_table(table, now_s)
+        self._local.update_table(table, now_s)
 
     def start(self) -> None:
         """Begin to watch the schedulers."""
@@ -249,7 +249,7 @@
         if first is None:
             return
         if isinstance(self._current, Alone):
-            self._local.note_first(first, read_clock_s())
+            self._local.record_first_byte(first, read_clock_s())
             self._deliver_local()
         else:
             self._node.send(self._current, first)
@@ -375,7 +375,7 @@
     def _deliver_local(self) -> None:
         emit_way_changes(self._node.events, self._local.reach.take_changes(), ALONE)
         emit_blame_changes(self._node.events, self._crashes.take_changes(), ALONE)
-        for decision in self._local.take_decisions():
+        for decision in self._local.drain_decisions():
             answer = decision.answer
             placing = self._placing.get(answer.request)
             if placing is not None and not placing.answer.done():
--- a/troutstand/routing/scheduler.py
+++ b/troutstand/routing/scheduler.py
@@ -132,7 +132,7 @@
                 self._deliver()
                 return future
             case FirstByte():
-                self.dispatcher.note_first(message, now_s)
+                self.dispatcher.record_first_byte(message, now_s)
             case Ended():
                 self.dispatcher.end(message, now_s)
             case TargetNotices(notices):
@@ -162,7 +162,7 @@
         now_s = read_clock_s()
         emit_way_changes(self.node.events, self.dispatcher.reach.take_changes(), SCHEDULER)
         emit_blame_changes(self.node.events, self.dispatcher.crashes.take_changes(), SCHEDULER)
-        for decision in self.dispatcher.take_decisions():
+        for decision in self.dispatcher.drain_decisions():
             answer = decision.answer
             settled = self._settle(decision.owner, answer.request, answer)
             emit_decision(
@@ -327,7 +327,7 @@
         # A scheduler is ready once it has a configuration and a list. The rollout book came
         # with the former; without it all versions of the list would be let in.
         self._follow_rollouts(now_s)
-        self.dispatcher.use_table(table, now_s)
+        self.dispatcher.update_table(table, now_s)
 
     def _follow_rollouts(self, now_s: float) -> None:
         self.dispatcher.use_rollouts(self.follower.rollouts.view(now_s, may_sample=True))
--- a/troutstand/testing/virtualload.py
+++ b/troutstand/testing/virtualload.py
@@ -86,7 +86,7 @@
         self.dispatcher = Dispatcher(
             Quotas(QuotaBounds()), RetryBudget(*_RETRY_BUDGET), options=options
         )
-        self.dispatcher.use_weights(weights or {})
+        self.dispatcher.update_weights(weights or {})
         listed = [
             ListedTarget(f"t{n}", _SERVICE, f"127.0.0.1:{n + 1}", "north", slots, ListedState.ready)
             for n in range(targets)
@@ -131,7 +131,7 @@
         self.dispatcher.place(work, "gateway", now_s)
 
     def _collect(self, now_s: float) -> None:
-        for decision in self.dispatcher.take_decisions():
+        for decision in self.dispatcher.drain_decisions():
             answer = decision.answer
             outcome = self._asked.pop(answer.request)
             match answer:
@@ -146,7 +146,7 @@
         outcome.first_s = now_s + first_s - job.at_s
         first = FirstByte(placed.request, placed.target, first_s)
         ended = Ended(placed.request, placed.target, Ending.whole, first_s, job.hold_s)
-        self._at(now_s + first_s, lambda at_s: self.dispatcher.note_first(first, at_s))
+        self._at(now_s + first_s, lambda at_s: self.dispatcher.record_first_byte(first, at_s))
         self._at(now_s + job.hold_s, lambda at_s: self.dispatcher.end(ended, at_s))
 
     def _decline(self, declined: Declined, outcome: JobOutcome, now_s: float) -> None:
--- a/troutstand/testing/worstload.py
+++ b/troutstand/testing/worstload.py
@@ -178,7 +178,7 @@
         self._dispatcher.place(work, "gateway", now_s)
 
     def _collect(self, now_s: float) -> None:
-        for decision in self._dispatcher.take_decisions():
+        for decision in self._dispatcher.drain_decisions():
             answer = decision.answer
             match answer:
                 case Placed():
@@ -201,7 +201,7 @@
             0.0,
             max(1, caller.output // _STRIDE),
         )
-        self._at(now_s + first_s, lambda at_s: self._dispatcher.note_first(first, at_s))
+        self._at(now_s + first_s, lambda at_s: self._dispatcher.record_first_byte(first, at_s))
         self._at(now_s + total_s, lambda at_s: self._dispatcher.end(ended, at_s))
         tier = caller.arrival.route_tier
         is_in_time = now_s + first_s - caller.arrival.at_s <= KINDS[tier].objective_s
--- a/troutstand/tests/steps/dispatch.py
+++ b/troutstand/tests/steps/dispatch.py
@@ -66,7 +66,7 @@
 
     def collect(self) -> None:
         """Take the decisions."""
-        for decision in self.dispatcher.take_decisions():
+        for decision in self.dispatcher.drain_decisions():
             match decision.answer:
                 case Placed(request, target):
                     self.placed[request] = target
@@ -140,7 +140,7 @@
 def limit_workspace(context: Context, tokens: int) -> None:
     workspace = RoutedWorkspace("w", tokens_per_s=1.0, burst_tokens=tokens)
     table = RouteTable(make_configuration([make_route("r", "/")], [workspace]))
-    context.desk.dispatcher.use_table(table, context.desk.now_s)
+    context.desk.dispatcher.update_table(table, context.desk.now_s)
 
 
 @when("{count:d} requests of tier {tier:d} arrive")
@@ -197,7 +197,7 @@
         desk.arrive()
     assert desk.count("t1") == desk.count("t2") == 1
     request = next(r for r, target in desk.placed.items() if target == "t2")
-    desk.dispatcher.note_first(FirstByte(request, "t2", 0.05), desk.now_s)
+    desk.dispatcher.record_first_byte(FirstByte(request, "t2", 0.05), desk.now_s)
 
 
 @when("{length_s:d} s pass")
--- a/troutstand/tests/steps/domaincrashes.py
+++ b/troutstand/tests/steps/domaincrashes.py
@@ -162,7 +162,7 @@
     asyncio.run(ask())
     after = Driver(context.rows)
     reports = [message for message in sent if isinstance(message, RunningReport)]
-    after.take(after.scheduler.take_report(reports[-1], after.now_s))
+    after.take(after.scheduler.apply_report(reports[-1], after.now_s))
     context.driver = after
 
 
--- a/troutstand/tests/steps/domainlimits.py
+++ b/troutstand/tests/steps/domainlimits.py
@@ -111,7 +111,7 @@
     driver = context.driver
     context.said = TargetNotice(_name_first(context), **said)  # type: ignore[arg-type]
     notices = TargetNotices([context.said])
-    driver.take(driver.scheduler.take_notices(notices, driver.now_s))
+    driver.take(driver.scheduler.apply_notices(notices, driver.now_s))
 
 
 @when("the first target names a limit of {limit_per_s:g} a second")
@@ -146,7 +146,7 @@
     placement.follow(PROCESS)
     context.driver = Driver(context.rows)
     report = next(message for message in sent if isinstance(message, RunningReport))
-    context.driver.take(context.driver.scheduler.take_report(report, context.driver.now_s))
+    context.driver.take(context.driver.scheduler.apply_report(report, context.driver.now_s))
 
 
 @when("{count:d} short requests come within {length_s:g} s")
@@ -165,7 +165,7 @@
         for _, name in [end for end in ends if end[0] <= driver.now_s + 1e-9]:
             if driver.granted[name] == first and context.said is not None:
                 notices = TargetNotices([context.said])
-                driver.take(driver.scheduler.take_notices(notices, driver.now_s))
+                driver.take(driver.scheduler.apply_notices(notices, driver.now_s))
             driver.finish(name)
         known = {name for _, name in ends}
         for name, target in driver.granted.items():
--- a/troutstand/tests/steps/domainrests.py
+++ b/troutstand/tests/steps/domainrests.py
@@ -134,7 +134,7 @@
 def _turn_away(context: Context, name: str, rest_s: float) -> None:
     driver = context.driver
     context.turned_away = TargetNotice(driver.granted[name], rest_s=rest_s)
-    driver.take(driver.scheduler.take_notices(TargetNotices([context.turned_away]), driver.now_s))
+    driver.take(driver.scheduler.apply_notices(TargetNotices([context.turned_away]), driver.now_s))
     driver.finish(name, ok=False)
 
 
@@ -173,7 +173,7 @@
     placement.follow(PROCESS)
     context.driver = Driver(context.rows)
     report = next(message for message in sent if isinstance(message, RunningReport))
-    context.driver.take(context.driver.scheduler.take_report(report, context.driver.now_s))
+    context.driver.take(context.driver.scheduler.apply_report(report, context.driver.now_s))
 
 
 @then("that target gets nothing for {length_s:g} s, and the other one is full")
--- a/troutstand/tests/steps/hardload.py
+++ b/troutstand/tests/steps/hardload.py
@@ -9,7 +9,7 @@
 from behave import given, then, when
 
 from troutstand.core.scheduling.options import LoadOptions
-from troutstand.core.scheduling.waitingqueue import Waiting, WaitingQueue
+from troutstand.core.scheduling.waitingqueue import WaitingQueue, WaitingRequest
 from troutstand.generated.messages import RoutedWork
 from troutstand.testing.virtualload import (
     Job,
@@ -250,7 +250,7 @@
     for number in range(count):
         tier = chance.randrange(tiers)
         work = RoutedWork(f"r{number}", "work", 1.0, 8.0, tier=tier, shed_tier=tiers - tier)
-        waiting = Waiting(work, "gateway", chance.randrange(4), 8.0)
+        waiting = WaitingRequest(work, "gateway", chance.randrange(4), 8.0)
         context.queue.add(waiting)
         context.held.append(waiting)
         if chance.random() < 0.3:
@@ -264,9 +264,11 @@
 def check_queue(context: Context) -> None:
     queue, held = context.queue, context.held
     assert len(queue) == len(held)
-    assert queue.list_placed() == sorted(held, key=lambda w: w.rank)
-    assert queue.list_shed() == sorted(held, key=lambda w: w.shed_rank)
+    assert queue.list_placement_order() == sorted(held, key=lambda w: w.rank)
+    assert queue.list_shed_order() == sorted(held, key=lambda w: w.shed_rank)
     for waiting in held:
         others = [other for other in held if other is not waiting]
-        assert queue.count_before(waiting) == sum(o.rank <= waiting.rank for o in others)
-        assert queue.count_ahead(waiting) == sum(o.shed_rank <= waiting.shed_rank for o in others)
+        assert queue.count_placed_before(waiting) == sum(o.rank <= waiting.rank for o in others)
+        assert queue.count_shed_after(waiting) == sum(
+            o.shed_rank <= waiting.shed_rank for o in others
+        )
--- a/troutstand/tests/steps/probes.py
+++ b/troutstand/tests/steps/probes.py
@@ -162,7 +162,7 @@
 def answer_lone(context: Context) -> None:
     desk = context.desk
     first = FirstByte(context.lone, desk.placed[context.lone], 0.05)
-    desk.dispatcher.note_first(first, desk.now_s)
+    desk.dispatcher.record_first_byte(first, desk.now_s)
 
 
 @when("a request that may not be repeated arrives {length_s:g} s later, turned away by the third")
--- a/troutstand/tests/steps/reach.py
+++ b/troutstand/tests/steps/reach.py
@@ -59,7 +59,7 @@
             is_repeatable=is_repeatable,
         )
         self.dispatcher.place(work, "gateway", self.now_s)
-        answers = [d.answer for d in self.dispatcher.take_decisions()]
+        answers = [d.answer for d in self.dispatcher.drain_decisions()]
         placed = [a.target for a in answers if isinstance(a, Placed)]
         return request, placed[0] if placed else ""
 
@@ -69,7 +69,7 @@
         """End a request and return the targets of those that waited."""
         ended = Ended(request, target, ending, 0.05, 0.1, is_target_gone=is_target_gone)
         self.dispatcher.end(ended, self.now_s)
-        answers = [d.answer for d in self.dispatcher.take_decisions()]
+        answers = [d.answer for d in self.dispatcher.drain_decisions()]
         return [a.target for a in answers if isinstance(a, Placed)]
 
     def send(self, source: str, target: str, ending: Ending, is_target_gone: bool = False) -> None:
--- a/troutstand/tests/steps/takeover.py
+++ b/troutstand/tests/steps/takeover.py
@@ -65,7 +65,7 @@
 def _place(dispatcher: Dispatcher, request: str, prompt_tokens: int) -> str:
     """Place a request and return its target."""
     dispatcher.place(_make_work(request, prompt_tokens), "gateway-1", _NOW_S)
-    answer = dispatcher.take_decisions()[-1].answer
+    answer = dispatcher.drain_decisions()[-1].answer
     assert isinstance(answer, Placed), answer
     return answer.target
 
@@ -206,7 +206,7 @@
     )
     for work in (new, moved):
         context.dispatcher.place(work, "gateway-1", _NOW_S)
-    assert not context.dispatcher.take_decisions()
+    assert not context.dispatcher.drain_decisions()
 
 
 @when("the slot gets free there")
@@ -216,7 +216,7 @@
 
 @then("the one that moved has it")
 def check_moved(context: Context) -> None:
-    placed = [d.answer.request for d in context.dispatcher.take_decisions()]
+    placed = [d.answer.request for d in context.dispatcher.drain_decisions()]
     assert placed == ["moved"], placed
 
 
@@ -256,12 +256,12 @@
 
 @then("it waits there")
 def check_waits(context: Context) -> None:
-    assert not context.dispatcher.take_decisions()
+    assert not context.dispatcher.drain_decisions()
 
 
 @then("it is refused there")
 def check_refused(context: Context) -> None:
-    (decision,) = context.dispatcher.take_decisions()
+    (decision,) = context.dispatcher.drain_decisions()
     assert isinstance(decision.answer, Declined), decision
 
 
--- a/troutstand/tests/steps/worstload.py
+++ b/troutstand/tests/steps/worstload.py
@@ -20,7 +20,7 @@
     from behave.runner import Context
 
     from troutstand.core.pool import Pool
-    from troutstand.core.scheduling.waitingqueue import Waiting
+    from troutstand.core.scheduling.waitingqueue import WaitingRequest
     from troutstand.generated.messages import RoutedWork
 
 _TRACE = Path(__file__).resolve().parents[3] / "traces" / "worst-load.csv"
@@ -106,7 +106,7 @@
     choose = choice.choose
     looked: list[str] = []
 
-    def note(pool: Pool, waiting: Waiting, open_: list[TargetState], now_s: float):
+    def note(pool: Pool, waiting: WaitingRequest, open_: list[TargetState], now_s: float):
         looked.append(waiting.work.request)
         return choose(pool, waiting, open_, now_s)
 
@@ -157,7 +157,7 @@
         return fits(self, work, memory_tokens)
 
     with patch.object(TargetState, "has_memory", note):
-        desk.dispatcher.note_first(FirstByte(request, state.listed.target, 0.1), desk.now_s)
+        desk.dispatcher.record_first_byte(FirstByte(request, state.listed.target, 0.1), desk.now_s)
         context.after_first = list(looked)
         looked.clear()
         small = desk.placed.pop(request)
