--- a/benchmarks/rollouts.py
+++ b/benchmarks/rollouts.py
@@ -18,8 +18,14 @@
 from dataclasses import dataclass, field
 from statistics import median
 
-from troutstand.core.rollouts.evidence import Evidence, Outcome
-from troutstand.core.rollouts.judgement import Compare, Rate, Verdict, judge, weigh_by_odds
+from troutstand.core.rollouts.analysis import (
+    CompareRates,
+    Rate,
+    Verdict,
+    compute_bayes_factor,
+    evaluate,
+)
+from troutstand.core.rollouts.outcomes import Outcome, OutcomeCounts
 
 _DURATION_S = 12.0
 _DECIDE_S = 9.5
@@ -118,11 +124,13 @@
     return Outcome(route, target.name, is_trial, rng.random() < fails, slow)
 
 
-def play(rng: random.Random, version: Version, targets: int, compare: Compare, sums: Sums) -> None:
+def play(
+    rng: random.Random, version: Version, targets: int, compare: CompareRates, sums: Sums
+) -> None:
     """Play one rollout and sum up how it ended."""
     trial = _draw_targets(rng, version, targets, "new")
     in_force = _draw_targets(rng, version, targets, "old")
-    evidence = Evidence(1)
+    evidence = OutcomeCounts(1)
     lost = 0
     now_s = 0.0
     verdict = Verdict.UNPROVEN
@@ -133,9 +141,9 @@
             is_trial = number % int(1 / _TRIAL_SHARE) == 0
             target = rng.choice(trial if is_trial else in_force)
             outcome = _draw_outcome(rng, version, target, is_trial, now_s)
-            evidence.note(outcome, now_s)
+            evidence.record(outcome, now_s)
             lost += is_trial and (outcome.is_failed or outcome.is_slow)
-        verdict = judge(evidence, now_s, compare).verdict
+        verdict = evaluate(evidence, now_s, compare).verdict
         if verdict is Verdict.BAD:
             break
     is_taken = verdict is Verdict.GOOD
@@ -147,7 +155,7 @@
 
 def weigh_by_threshold(trial: Rate, in_force: Rate) -> float:
     """Return infinite odds where the trial's rate exceeds the other by a fixed difference."""
-    if trial.answers < _THRESHOLD_ANSWERS:
+    if trial.responses < _THRESHOLD_ANSWERS:
         return 0.0
     return math.inf if trial.share >= in_force.share + _THRESHOLD_DIFFERENCE else 0.0
 
@@ -158,7 +166,7 @@
     parser.add_argument("--draws", type=int, default=100)
     parser.add_argument("--seed", type=int, default=1)
     options = parser.parse_args()
-    ways: dict[str, Compare] = {"odds": weigh_by_odds, "threshold": weigh_by_threshold}
+    ways: dict[str, CompareRates] = {"odds": compute_bayes_factor, "threshold": weigh_by_threshold}
     for targets in (15, 3):
         for name, compare in ways.items():
             rng = random.Random(options.seed)
--- a/troutstand/core/choice.py
+++ b/troutstand/core/choice.py
@@ -87,7 +87,7 @@
         work = waiting.work
         if not canaries or work.attempt > 1:
             return None
-        if not pool.trial.is_due(work.route) and not pool.trial.outlasts(
+        if not pool.canary.is_due(work.route) and not pool.canary.is_due_at_deadline(
             pool.estimate_stay(work), now_s
         ):
             return None
@@ -96,7 +96,7 @@
             for t in canaries
             if self._may_get(pool, waiting, t, now_s) and not t.report.rest.is_doubted(now_s)
         ]
-        samples = pool.trial.samples
+        samples = pool.canary.sample_counts
         return min(fitting, key=lambda t: samples.get(t.listed.target, 0), default=None)
 
     def _list_fitting(
--- a/troutstand/core/dispatch.py
+++ b/troutstand/core/dispatch.py
@@ -16,7 +16,7 @@
 from troutstand.core.pool import Pool
 from troutstand.core.quota import Judgement, Verdict
 from troutstand.core.reach import Reach
-from troutstand.core.rollouts.admission import Standing
+from troutstand.core.rollouts.admission import Admission
 from troutstand.core.scheduling.options import LoadOptions
 from troutstand.core.scheduling.serviceshares import DEFAULT_WEIGHT, UNSHARED
 from troutstand.core.scheduling.waitingqueue import WaitingRequest
@@ -230,9 +230,9 @@
         self, pool: Pool, state: TargetState, run: Running, ended: Ended, now_s: float
     ) -> None:
         self.reach.note_ending(find_way(run.work, state), ended, now_s)
-        if pool.trial.order is not None:
+        if pool.canary.order is not None:
             typical = pool.estimate_typical(run)
-            pool.trial.note_ended(run, ended, state.listed.version, typical, now_s)
+            pool.canary.record_ended(run, ended, state.listed.version, typical, now_s)
         if ended.ending in (Ending.whole, Ending.failed):
             self.crashes.note_survived(run.work.fingerprint)
             state.report.note_answer(run.started_s)
@@ -291,12 +291,12 @@
         if not pool.waiting or not state.is_ready or not state.is_open(now_s):
             return
         ordered = pool.waiting.list_placement_order()
-        match state.standing:
-            case Standing.OPEN:
+        match state.admission:
+            case Admission.OPEN:
                 self._serve_open(pool, ordered, [state], [], now_s, _MAX_PASSED)
-            case Standing.CANARY:
+            case Admission.CANARY:
                 self._serve_open(pool, ordered, [], [state], now_s, _MAX_PASSED)
-            case Standing.CLOSED:
+            case Admission.CLOSED:
                 pass
 
     def _serve_next(self, pool: Pool, now_s: float) -> None:
@@ -394,8 +394,8 @@
         state.note_connection(waiting.owner, now_s)
         self.reach.note_sent(find_way(work, state), now_s)
         if work.attempt == 1:
-            is_sampled = pool.trial.is_on_trial(state.listed.version)
-            pool.trial.note_placed(work.route, state.listed.target, is_sampled)
+            is_sampled = pool.canary.is_canary(state.listed.version)
+            pool.canary.record_placed(work.route, state.listed.target, is_sampled)
         placed = Placed(
             work.request,
             state.listed.target,
--- a/troutstand/core/pool.py
+++ b/troutstand/core/pool.py
@@ -8,8 +8,8 @@
 from statistics import median
 from typing import TYPE_CHECKING
 
-from troutstand.core.rollouts.admission import Standing
-from troutstand.core.rollouts.trial import Trial, TypicalTimes
+from troutstand.core.rollouts.admission import Admission
+from troutstand.core.rollouts.canary import Canary, TypicalTimes
 from troutstand.core.scheduling.headroom import Headroom
 from troutstand.core.scheduling.placementestimate import (
     BusyTargets,
@@ -74,7 +74,7 @@
     targets: dict[str, TargetState] = field(default_factory=dict)
     waiting: WaitingQueue = field(default_factory=WaitingQueue)
     hold_s: float | None = None
-    trial: Trial = field(default_factory=Trial)
+    canary: Canary = field(default_factory=Canary)
     # Tokens that one event of a stream carries.
     stride: int = 1
     # What a target's memory holds, in tokens of prompts and answers; 0 is no limit.
@@ -104,25 +104,25 @@
     def list_usable(self) -> list[TargetState]:
         """Return the targets that take new work at all."""
         if self._usable is None:
-            self._usable = [t for t in self._list_ready() if t.standing is Standing.OPEN]
+            self._usable = [t for t in self._list_ready() if t.admission is Admission.OPEN]
         return self._usable
 
     def _list_ready(self) -> list[TargetState]:
         return [t for t in self.targets.values() if t.is_ready]
 
-    def judge_versions(self) -> None:
+    def admit_versions(self) -> None:
         """Find out anew which targets may get requests, by the list and their versions."""
         self._usable = None
         ready = self._list_ready()
-        standings = self.trial.judge_versions(t.listed.version for t in ready)
+        standings = self.canary.admit_versions(t.listed.version for t in ready)
         for target in ready:
-            target.standing = standings[target.listed.version]
+            target.admission = standings[target.listed.version]
 
     def list_canaries(self, now_s: float) -> list[TargetState]:
         """Return the targets of a version on trial that may be given work now."""
-        if self.trial.order is None:
+        if self.canary.order is None:
             return []
-        canaries = [t for t in self._list_ready() if t.standing is Standing.CANARY]
+        canaries = [t for t in self._list_ready() if t.admission is Admission.CANARY]
         return [t for t in canaries if t.is_open(now_s)]
 
     def list_open(self, now_s: float) -> list[TargetState]:
@@ -253,7 +253,7 @@
 
     def _list_models(self) -> list[TargetState]:
         """Return the targets that show what is typical: not those of a version on trial."""
-        return [t for t in self.targets.values() if not self.trial.is_on_trial(t.listed.version)]
+        return [t for t in self.targets.values() if not self.canary.is_canary(t.listed.version)]
 
     def estimate_stay(self, work: RoutedWork) -> float:
         """Return how long a request stays at a typical target, in seconds."""
--- a/troutstand/core/rollouts/admission.py
+++ b/troutstand/core/rollouts/admission.py
@@ -6,7 +6,7 @@
 from enum import Enum
 from typing import TYPE_CHECKING
 
-from troutstand.core.rollouts.book import is_active
+from troutstand.core.rollouts.state import is_active
 from troutstand.generated.messages import RolloutState
 
 if TYPE_CHECKING:
@@ -27,7 +27,7 @@
 _EVERY = 4
 
 
-class Standing(Enum):
+class Admission(Enum):
     """Say which requests a target may get."""
 
     OPEN = "open"
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True)
-class Knowledge:
+class ServiceRolloutView:
     """Hold what a decider knows of one service's rollout.
 
     Parameters
@@ -56,7 +56,7 @@
     may_sample: bool = False
 
 
-def judge_versions(knowledge: Knowledge, listed: Iterable[str]) -> dict[str, Standing]:
+def admit_versions(knowledge: ServiceRolloutView, listed: Iterable[str]) -> dict[str, Admission]:
     """Return the standing of each version that the list of targets shows.
 
     Parameters
@@ -67,7 +67,7 @@
     versions = set(listed)
     rollout = knowledge.rollout
     if rollout is None:
-        return dict.fromkeys(versions, Standing.OPEN)
+        return dict.fromkeys(versions, Admission.OPEN)
     ordered = rollout.order.version if rollout.order is not None else ""
     on_trial = ordered if is_active(rollout) else ""
     standings = {
@@ -79,43 +79,45 @@
     return standings
 
 
-def _judge_other(rollout: ServiceRollout, version: str) -> Standing:
+def _judge_other(rollout: ServiceRollout, version: str) -> Admission:
     """Judge a version that is not on trial."""
     if not rollout.in_force:
-        return Standing.CLOSED if version in rollout.rejected else Standing.OPEN
+        return Admission.CLOSED if version in rollout.rejected else Admission.OPEN
     # The list tells no version of some targets; those take part as they always did.
     is_served = version in ("", rollout.in_force)
-    return Standing.OPEN if is_served else Standing.CLOSED
+    return Admission.OPEN if is_served else Admission.CLOSED
 
 
-def _judge_trial(knowledge: Knowledge, standings: dict[str, Standing], on_trial: str) -> None:
+def _judge_trial(
+    knowledge: ServiceRolloutView, standings: dict[str, Admission], on_trial: str
+) -> None:
     rollout = knowledge.rollout
     assert rollout is not None
     assert rollout.order is not None
     if not knowledge.is_leased:
-        standings[on_trial] = Standing.CLOSED
+        standings[on_trial] = Admission.CLOSED
     elif rollout.order.state is RolloutState.switching:
-        standings.update(dict.fromkeys(standings, Standing.CLOSED))
-        standings[on_trial] = Standing.OPEN
+        standings.update(dict.fromkeys(standings, Admission.CLOSED))
+        standings[on_trial] = Admission.OPEN
     else:
-        standings[on_trial] = Standing.CANARY if knowledge.may_sample else Standing.CLOSED
+        standings[on_trial] = Admission.CANARY if knowledge.may_sample else Admission.CLOSED
 
 
-def _keep_served(rollout: ServiceRollout, standings: dict[str, Standing], ordered: str) -> None:
+def _keep_served(rollout: ServiceRollout, standings: dict[str, Admission], ordered: str) -> None:
     """Open a version that was ordered where no other is left.
 
     Where a process missed the end of a rollout, the list shows only targets of the version
     that the operator ordered. All others stay closed: a version that nobody ordered may be
     another's, and requests must not reach it.
     """
-    if any(standing is Standing.OPEN for standing in standings.values()):
+    if any(standing is Admission.OPEN for standing in standings.values()):
         return
     if ordered in standings and ordered not in rollout.rejected:
-        standings[ordered] = Standing.OPEN
+        standings[ordered] = Admission.OPEN
 
 
 @dataclass(frozen=True)
-class ExposureBound:
+class ExposureLimit:
     """Say how many of a service's requests a version may get until its order's deadline.
 
     Parameters
@@ -147,7 +149,7 @@
     """
 
     number: int
-    bound: ExposureBound
+    limit: ExposureLimit
     placed: dict[str, int] = field(default_factory=dict)
     sampled: dict[str, int] = field(default_factory=dict)
 
@@ -161,12 +163,12 @@
         """
         following = self.placed.get(route, 0) + 1
         sampled = self.sampled.get(route, 0) + 1
-        if sampled <= _TRIAL_PART * self.bound.share * following:
+        if sampled <= _TRIAL_PART * self.limit.share * following:
             return True
-        is_first = sum(self.sampled.values()) < _EXTRA_PART * self.bound.extra
+        is_first = sum(self.sampled.values()) < _EXTRA_PART * self.limit.extra
         return is_leading and is_first and _EVERY * sampled <= following
 
-    def measure_left(self, is_leading: bool) -> float:
+    def compute_remaining(self, is_leading: bool) -> float:
         """Return how many more requests the version may get.
 
         Parameters
@@ -174,11 +176,11 @@
         is_leading
             Whether most gateways ask this decider; only then it uses the fixed allowance.
         """
-        extra = _EXTRA_PART * self.bound.extra if is_leading else 0.0
-        allowed = _MOST_PART * self.bound.share * sum(self.placed.values()) + extra
+        extra = _EXTRA_PART * self.limit.extra if is_leading else 0.0
+        allowed = _MOST_PART * self.limit.share * sum(self.placed.values()) + extra
         return allowed - sum(self.sampled.values())
 
-    def note(self, route: str, is_sampled: bool) -> None:
+    def record(self, route: str, is_sampled: bool) -> None:
         """Count a request that was placed."""
         self.placed[route] = self.placed.get(route, 0) + 1
         if is_sampled:
--- a/troutstand/core/rollouts/judgement.py
+++ b/troutstand/core/rollouts/analysis.py
@@ -12,7 +12,7 @@
 from enum import Enum
 from statistics import fmean
 
-from troutstand.core.rollouts.evidence import Evidence, Tallies, Tally, TallyKey
+from troutstand.core.rollouts.outcomes import OutcomeCounts, Tallies, Tally, TallyKey
 
 # How much more likely the answers must be if the versions differ than if they do not, for a
 # roll-back at any moment of the trial. Of 3,200 drawn bad versions 59 were completed, of
@@ -27,7 +27,7 @@
 _LEAST_DIFFERENCE = 0.03
 # Answers that a version must have given before anything is concluded (chosen, not
 # measured): the first few come from only some of its targets.
-LEAST_ANSWERS = 20
+MIN_RESPONSES = 20
 # Seconds over which the last answers are judged apart from all of them.
 _LAST_S = 3.0
 # The name under which the answers of all routes are judged together.
@@ -44,7 +44,7 @@
 
 
 @dataclass(frozen=True)
-class Finding:
+class Evaluation:
     """Tell a verdict and the counts that led to it."""
 
     verdict: Verdict
@@ -55,13 +55,13 @@
 class Rate:
     """Count answers and the bad ones among them."""
 
-    answers: float
+    responses: float
     bad: float
 
     @property
     def share(self) -> float:
         """Return the share of bad answers; 0 where there are none at all."""
-        return self.bad / self.answers if self.answers else 0.0
+        return self.bad / self.responses if self.responses else 0.0
 
 
 @dataclass(frozen=True)
@@ -76,10 +76,12 @@
 
 
 # Returns how likely it is that the first rate is worse than the second, as odds.
-Compare = Callable[[Rate, Rate], float]
+CompareRates = Callable[[Rate, Rate], float]
 
 
-def judge(evidence: Evidence, now_s: float, compare: Compare | None = None) -> Finding:
+def evaluate(
+    evidence: OutcomeCounts, now_s: float, compare: CompareRates | None = None
+) -> Evaluation:
     """Judge a version by all its answers and by its last ones.
 
     Parameters
@@ -87,19 +89,19 @@
     compare
         Weighs two rates against each other; by default as odds.
     """
-    compare = compare or weigh_by_odds
+    compare = compare or compute_bayes_factor
     whole = evidence.collect()
     comparisons = list_comparisons(whole, compare)
     comparisons += list_comparisons(evidence.collect_since(now_s - _LAST_S), compare)
-    answers = sum(tally.answers for key, tally in whole.items() if key.is_trial)
+    answers = sum(tally.responses for key, tally in whole.items() if key.is_trial)
     worst = max(comparisons, key=lambda c: c.odds, default=None)
     if worst is None:
-        return Finding(Verdict.UNPROVEN, f"answers={answers}")
-    return Finding(_find_verdict(worst.odds, answers), _describe(worst, answers))
+        return Evaluation(Verdict.UNPROVEN, f"answers={answers}")
+    return Evaluation(_find_verdict(worst.odds, answers), _describe(worst, answers))
 
 
 def _find_verdict(odds: float, answers: int) -> Verdict:
-    if answers < LEAST_ANSWERS:
+    if answers < MIN_RESPONSES:
         return Verdict.UNPROVEN
     if odds >= _BAD_ODDS:
         return Verdict.BAD
@@ -109,12 +111,12 @@
 def _describe(worst: Comparison, answers: int) -> str:
     return (
         f"answers={answers} worst_route={worst.route} kind={worst.kind} odds={worst.odds:.3g}"
-        f" trial={worst.trial.bad:.0f}/{worst.trial.answers:.0f}"
-        f" in_force={worst.in_force.bad:.0f}/{worst.in_force.answers:.0f}"
+        f" trial={worst.trial.bad:.0f}/{worst.trial.responses:.0f}"
+        f" in_force={worst.in_force.bad:.0f}/{worst.in_force.responses:.0f}"
     )
 
 
-def list_comparisons(tallies: Tallies, compare: Compare) -> list[Comparison]:
+def list_comparisons(tallies: Tallies, compare: CompareRates) -> list[Comparison]:
     """Compare the versions on each route and on all routes together."""
     routes = {key.route for key in tallies if key.is_trial}
     found: list[Comparison] = []
@@ -166,7 +168,7 @@
     kind: Kind,
     trial: list[Tally],
     in_force: list[Tally],
-    compare: Compare,
+    compare: CompareRates,
 ) -> Comparison:
     trial_rates = _leave_out_worst(trial, kind)
     other_rates = _leave_out_worst(in_force, kind)
@@ -175,24 +177,24 @@
     # Each target of the version in force counts alike, as in the trial's sample, though
     # fast targets get more requests.
     total = _sum(other_rates)
-    evened = Rate(total.answers, total.answers * fmean(rate.share for rate in other_rates))
+    evened = Rate(total.responses, total.responses * fmean(rate.share for rate in other_rates))
     odds = compare(_scale(summed, 1.0 / effect), _scale(evened, 1.0 / effect))
     return Comparison(route, kind.name, summed, evened, odds)
 
 
 def _leave_out_worst(tallies: list[Tally], kind: Kind) -> list[Rate]:
-    rates = [Rate(tally.answers, kind.count(tally)) for tally in tallies]
+    rates = [Rate(tally.responses, kind.count(tally)) for tally in tallies]
     left_out = math.ceil(kind.left_out * len(rates)) if len(rates) > 1 else 0
     ordered = sorted(rates, key=lambda rate: rate.share)
     return ordered[: len(ordered) - left_out]
 
 
 def _sum(rates: list[Rate]) -> Rate:
-    return Rate(sum(rate.answers for rate in rates), sum(rate.bad for rate in rates))
+    return Rate(sum(rate.responses for rate in rates), sum(rate.bad for rate in rates))
 
 
 def _scale(rate: Rate, factor: float) -> Rate:
-    return Rate(rate.answers * factor, rate.bad * factor)
+    return Rate(rate.responses * factor, rate.bad * factor)
 
 
 def measure_design_effect(in_force: list[Rate], trial: list[Rate]) -> float:
@@ -203,20 +205,20 @@
     targets of the version in force lie apart, beyond what chance brings (Kish's design
     effect for clusters).
     """
-    known = [rate for rate in in_force if rate.answers]
+    known = [rate for rate in in_force if rate.responses]
     mean = fmean(rate.share for rate in known) if known else 0.0
     spread = mean * (1.0 - mean)
     if len(known) < 2 or spread <= 0.0:
         return 1.0
-    total = sum(rate.answers for rate in known)
-    between = sum(rate.answers * (rate.share - mean) ** 2 for rate in known) / total
+    total = sum(rate.responses for rate in known)
+    between = sum(rate.responses * (rate.share - mean) ** 2 for rate in known) / total
     by_chance = spread * len(known) / total
     correlation = min(1.0, max(0.0, between - by_chance) / spread)
-    per_target = sum(rate.answers for rate in trial) / max(1, len(trial))
+    per_target = sum(rate.responses for rate in trial) / max(1, len(trial))
     return 1.0 + max(0.0, per_target - 1.0) * correlation
 
 
-def weigh_by_odds(trial: Rate, in_force: Rate) -> float:
+def compute_bayes_factor(trial: Rate, in_force: Rate) -> float:
     """Return the odds that the trial's rate is the higher one (a Bayes factor).
 
     Rates of their own are weighed against one rate for both, each drawn evenly from 0 to 1.
@@ -227,11 +229,11 @@
     if trial.share < in_force.share + _LEAST_DIFFERENCE:
         return 0.0
     log_apart = _log_beta(trial) + _log_beta(in_force)
-    together = Rate(trial.answers + in_force.answers, trial.bad + in_force.bad)
+    together = Rate(trial.responses + in_force.responses, trial.bad + in_force.bad)
     return math.exp(min(700.0, log_apart - _log_beta(together)))
 
 
 def _log_beta(rate: Rate) -> float:
     """Return the logarithm of how likely counts are under a rate drawn evenly from 0 to 1."""
-    good = rate.answers - rate.bad
-    return math.lgamma(rate.bad + 1.0) + math.lgamma(good + 1.0) - math.lgamma(rate.answers + 2.0)
+    good = rate.responses - rate.bad
+    return math.lgamma(rate.bad + 1.0) + math.lgamma(good + 1.0) - math.lgamma(rate.responses + 2.0)
--- a/troutstand/core/rollouts/trial.py
+++ b/troutstand/core/rollouts/canary.py
@@ -7,19 +7,19 @@
 
 from troutstand.core.rollouts.admission import (
     Exposure,
-    ExposureBound,
-    Knowledge,
-    judge_versions,
+    ExposureLimit,
+    ServiceRolloutView,
+    admit_versions,
 )
-from troutstand.core.rollouts.book import find_rollout, is_active
-from troutstand.core.rollouts.evidence import Evidence, Outcome
-from troutstand.core.rollouts.judgement import Finding, Verdict, judge
+from troutstand.core.rollouts.analysis import Evaluation, Verdict, evaluate
+from troutstand.core.rollouts.outcomes import Outcome, OutcomeCounts
+from troutstand.core.rollouts.state import find_rollout, is_active
 from troutstand.generated.messages import Ending, RolloutBook
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from troutstand.core.rollouts.admission import Standing
+    from troutstand.core.rollouts.admission import Admission
     from troutstand.core.targetstate import Running
     from troutstand.generated.messages import Ended, RolloutOrder
 
@@ -44,11 +44,11 @@
     book: RolloutBook = field(default_factory=RolloutBook)
     is_leased: bool = False
     may_sample: bool = False
-    bound: ExposureBound = field(default_factory=ExposureBound)
+    limit: ExposureLimit = field(default_factory=ExposureLimit)
 
-    def describe(self, service: str) -> Knowledge:
+    def get_service(self, service: str) -> ServiceRolloutView:
         """Return what is known of one service."""
-        return Knowledge(find_rollout(self.book, service), self.is_leased, self.may_sample)
+        return ServiceRolloutView(find_rollout(self.book, service), self.is_leased, self.may_sample)
 
 
 @dataclass(frozen=True)
@@ -68,52 +68,52 @@
 
 
 @dataclass
-class Trial:
+class Canary:
     """Hold the state of one service's rollout."""
 
-    knowledge: Knowledge = field(default_factory=Knowledge)
-    exposure: Exposure = field(default_factory=lambda: Exposure(0, ExposureBound()))
-    evidence: Evidence = field(default_factory=lambda: Evidence(0))
+    view: ServiceRolloutView = field(default_factory=ServiceRolloutView)
+    exposure: Exposure = field(default_factory=lambda: Exposure(0, ExposureLimit()))
+    outcomes: OutcomeCounts = field(default_factory=lambda: OutcomeCounts(0))
     # How many requests each target on trial was given, so that all get as many.
-    samples: dict[str, int] = field(default_factory=dict)
+    sample_counts: dict[str, int] = field(default_factory=dict)
     # The order that was judged bad here, before the keepers decided so.
-    condemned: int = 0
+    blocked_order: int = 0
     # When the order's time is up on the decider's clock, in seconds, and whether the answers
     # show the version to be good so far.
-    ends_s: float = float("inf")
-    is_cleared: bool = False
-    is_leading: bool = False
+    deadline_s: float = float("inf")
+    is_healthy: bool = False
+    is_primary: bool = False
 
     @property
     def order(self) -> RolloutOrder | None:
         """Return the order that is under way."""
-        rollout = self.knowledge.rollout
+        rollout = self.view.rollout
         return rollout.order if rollout is not None and is_active(rollout) else None
 
-    def follow(self, knowledge: Knowledge, bound: ExposureBound) -> None:
+    def update(self, knowledge: ServiceRolloutView, bound: ExposureLimit) -> None:
         """Take newer knowledge; a new order is counted from nothing."""
-        self.knowledge = knowledge
+        self.view = knowledge
         order = self.order
-        if order is not None and order.number != self.evidence.number:
+        if order is not None and order.number != self.outcomes.number:
             self.exposure = Exposure(order.number, bound)
-            self.evidence = Evidence(order.number)
-            self.samples = {}
-            self.ends_s = float("inf")
-            self.is_cleared = False
+            self.outcomes = OutcomeCounts(order.number)
+            self.sample_counts = {}
+            self.deadline_s = float("inf")
+            self.is_healthy = False
 
-    def condemn(self) -> None:
+    def block(self) -> None:
         """Send nothing more to the version on trial, whatever the book says."""
         if self.order is not None:
-            self.condemned = self.order.number
+            self.blocked_order = self.order.number
 
-    def judge_versions(self, listed: Iterable[str]) -> dict[str, Standing]:
+    def admit_versions(self, listed: Iterable[str]) -> dict[str, Admission]:
         """Return the standing of each listed version."""
-        knowledge = self.knowledge
-        if self.order is not None and self.order.number == self.condemned:
-            knowledge = Knowledge(knowledge.rollout, is_leased=False)
-        return judge_versions(knowledge, listed)
+        knowledge = self.view
+        if self.order is not None and self.order.number == self.blocked_order:
+            knowledge = ServiceRolloutView(knowledge.rollout, is_leased=False)
+        return admit_versions(knowledge, listed)
 
-    def is_on_trial(self, version: str) -> bool:
+    def is_canary(self, version: str) -> bool:
         """Tell whether a version is the one that an order under way moves to."""
         return self.order is not None and self.order.version == version
 
@@ -121,9 +121,9 @@
 
     def is_due(self, route: str) -> bool:
         """Tell whether a route's next request may go to the version on trial."""
-        return self.exposure.is_due(route, self.is_leading)
+        return self.exposure.is_due(route, self.is_primary)
 
-    def outlasts(self, stay_s: float, now_s: float) -> bool:
+    def is_due_at_deadline(self, stay_s: float, now_s: float) -> bool:
         """Tell whether a request would run beyond the deadline at the version in force.
 
         From then on it goes to the version on trial, which takes over at the deadline, if
@@ -131,28 +131,28 @@
         version when the order's time is up, though the service moves over late: a version
         that turns bad at the last moment has got little.
         """
-        if not self.is_cleared or now_s + stay_s <= self.ends_s:
+        if not self.is_healthy or now_s + stay_s <= self.deadline_s:
             return False
-        return self.exposure.measure_left(self.is_leading) >= 1.0
+        return self.exposure.compute_remaining(self.is_primary) >= 1.0
 
-    def note_placed(self, route: str, target: str, is_sampled: bool) -> None:
+    def record_placed(self, route: str, target: str, is_sampled: bool) -> None:
         """Count a request's first placement."""
         if self.order is None:
             return
-        self.exposure.note(route, is_sampled)
+        self.exposure.record(route, is_sampled)
         if is_sampled:
-            self.samples[target] = self.samples.get(target, 0) + 1
+            self.sample_counts[target] = self.sample_counts.get(target, 0) + 1
 
     # The evidence
 
-    def judge(self, number: int, now_s: float) -> Finding:
+    def evaluate(self, number: int, now_s: float) -> Evaluation:
         """Judge the version of an order, if it is the one that is followed here."""
-        if number != self.evidence.number:
+        if number != self.outcomes.number:
             # An order is heard of before it is followed; the answers are those of another.
-            return Finding(Verdict.UNPROVEN, "not followed yet")
-        return judge(self.evidence, now_s)
+            return Evaluation(Verdict.UNPROVEN, "not followed yet")
+        return evaluate(self.outcomes, now_s)
 
-    def note_ended(
+    def record_ended(
         self, run: Running, ended: Ended, version: str, typical: TypicalTimes, now_s: float
     ) -> None:
         """Count how a request ended at a target of some version."""
@@ -162,9 +162,9 @@
             # It tells nothing of the target: not sent, turned away, or left early.
             return
         outcome = Outcome(
-            run.work.route, ended.target, self.is_on_trial(version), is_bad, is_slow and not is_bad
+            run.work.route, ended.target, self.is_canary(version), is_bad, is_slow and not is_bad
         )
-        self.evidence.note(outcome, now_s)
+        self.outcomes.record(outcome, now_s)
 
 
 def _is_slow(ended: Ended, typical: TypicalTimes) -> bool:
--- a/troutstand/core/rollouts/evidence.py
+++ b/troutstand/core/rollouts/outcomes.py
@@ -24,7 +24,7 @@
 
     route: str
     target: str
-    is_trial: bool
+    is_canary: bool
     is_failed: bool
     is_slow: bool
 
@@ -33,13 +33,13 @@
 class Tally:
     """Count the answers of one target on one route."""
 
-    answers: int = 0
+    responses: int = 0
     failed: int = 0
     slow: int = 0
 
     def add(self, other: Tally) -> None:
         """Add another tally."""
-        self.answers += other.answers
+        self.responses += other.responses
         self.failed += other.failed
         self.slow += other.slow
 
@@ -57,20 +57,20 @@
 
 
 @dataclass
-class Evidence:
+class OutcomeCounts:
     """Hold the tallies of one order, by second."""
 
     number: int
     _older: Tallies = field(default_factory=dict)
     _recent: deque[tuple[int, Tallies]] = field(default_factory=deque)
 
-    def note(self, outcome: Outcome, now_s: float) -> None:
+    def record(self, outcome: Outcome, now_s: float) -> None:
         """Count an answer."""
         second = int(now_s)
         if not self._recent or self._recent[-1][0] != second:
             self._recent.append((second, {}))
             self._sum_up(second)
-        key = TallyKey(outcome.route, outcome.target, outcome.is_trial)
+        key = TallyKey(outcome.route, outcome.target, outcome.is_canary)
         tally = self._recent[-1][1].setdefault(key, Tally())
         tally.add(Tally(1, int(outcome.is_failed), int(outcome.is_slow)))
 
--- a/troutstand/core/rollouts/steps.py
+++ b/troutstand/core/rollouts/planning.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from troutstand.core.rollouts.judgement import Finding, Verdict
+from troutstand.core.rollouts.analysis import Evaluation, Verdict
 from troutstand.generated.messages import RolloutState
 
 if TYPE_CHECKING:
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True)
-class Situation:
+class RolloutProgress:
     """Hold what the next step of an order rests on; times in seconds.
 
     Parameters
@@ -53,19 +53,19 @@
     """
 
     order: RolloutOrder
-    finding: Finding
+    evaluation: Evaluation
     elapsed_s: float
     switched_s: float
     hold_s: float
     old_running: int
-    longest_s: float
-    affordable_s: float
-    lead: float
+    max_request_s: float
+    exposure_left_s: float
+    gateway_share: float
 
     @property
-    def is_leading(self) -> bool:
+    def is_primary(self) -> bool:
         """Tell whether most gateways ask this scheduler."""
-        return self.lead >= _LEADING
+        return self.gateway_share >= _LEADING
 
 
 @dataclass(frozen=True)
@@ -76,33 +76,33 @@
     detail: str
 
 
-def measure_reserve(situation: Situation) -> float:
+def measure_reserve(situation: RolloutProgress) -> float:
     """Return how long before the deadline a service is switched over, in seconds.
 
     What runs at the old version should have ended at the deadline. But a version may turn
     bad at the last moment, so that all requests go there no sooner than its exposure
     allows, though the rollout then completes a little late.
     """
-    settle_s = 0.0 if situation.lead >= 1.0 else SETTLE_S
+    settle_s = 0.0 if situation.gateway_share >= 1.0 else SETTLE_S
     wanted_s = settle_s + _AGREE_S + _HOLDS * situation.hold_s
     most_s = _MOST_RESERVE * situation.order.duration_s
-    return max(0.0, min(wanted_s, most_s, situation.affordable_s))
+    return max(0.0, min(wanted_s, most_s, situation.exposure_left_s))
 
 
-def plan_step(situation: Situation) -> Step | None:
+def plan_step(situation: RolloutProgress) -> Step | None:
     """Return the next step of an order, or None while it has to wait."""
-    finding = situation.finding
+    finding = situation.evaluation
     if finding.verdict is Verdict.BAD:
         return Step(RolloutState.rolled_back, finding.detail)
-    if not situation.is_leading:
+    if not situation.is_primary:
         return None
     if situation.order.state is RolloutState.switching:
         return _plan_completion(situation)
     return _plan_switch(situation)
 
 
-def _plan_switch(situation: Situation) -> Step | None:
-    order, finding = situation.order, situation.finding
+def _plan_switch(situation: RolloutProgress) -> Step | None:
+    order, finding = situation.order, situation.evaluation
     left_s = order.duration_s - situation.elapsed_s
     if finding.verdict is Verdict.GOOD:
         is_time = left_s <= measure_reserve(situation)
@@ -116,11 +116,11 @@
     return Step(RolloutState.rolled_back, detail)
 
 
-def _plan_completion(situation: Situation) -> Step | None:
-    if situation.lead < 1.0 and situation.switched_s < SETTLE_S:
+def _plan_completion(situation: RolloutProgress) -> Step | None:
+    if situation.gateway_share < 1.0 and situation.switched_s < SETTLE_S:
         return None
-    is_over = situation.switched_s > situation.longest_s
+    is_over = situation.switched_s > situation.max_request_s
     if situation.old_running and not is_over:
         return None
-    detail = f"old_running={situation.old_running} {situation.finding.detail}"
+    detail = f"old_running={situation.old_running} {situation.evaluation.detail}"
     return Step(RolloutState.completed, detail)
--- a/troutstand/core/rollouts/book.py
+++ b/troutstand/core/rollouts/state.py
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True)
-class RolloutAsk:
+class RolloutRequest:
     """Ask for a service to be moved to a version within some seconds."""
 
     service: str
@@ -54,7 +54,7 @@
     return next((entry for entry in book.services if entry.service == service), None)
 
 
-def begin(book: RolloutBook, ask: RolloutAsk, number: int, now_s: float) -> RolloutBook:
+def begin(book: RolloutBook, ask: RolloutRequest, number: int, now_s: float) -> RolloutBook:
     """Take an order; one that was taken already changes nothing.
 
     Parameters
@@ -84,7 +84,7 @@
     return _put(book, msgspec.structs.replace(held, order=order, rejected=rejected))
 
 
-def _is_repeated(order: RolloutOrder, ask: RolloutAsk) -> bool:
+def _is_repeated(order: RolloutOrder, ask: RolloutRequest) -> bool:
     return order.version == ask.version and order.duration_s == ask.duration_s
 
 
@@ -126,7 +126,7 @@
     return advance(book, service, held.order.number, RolloutState.rolled_back, "by the operator")
 
 
-def note_versions(book: RolloutBook, seen: Iterable[ServiceRollout]) -> RolloutBook:
+def record_versions(book: RolloutBook, seen: Iterable[ServiceRollout]) -> RolloutBook:
     """Note which version serves, for services of which that is not known yet."""
     for entry in seen:
         held = find_rollout(book, entry.service) or ServiceRollout(entry.service)
--- a/troutstand/core/siteview.py
+++ b/troutstand/core/siteview.py
@@ -10,7 +10,7 @@
 
 from troutstand.core.lives import is_same_life
 from troutstand.core.pool import Pool
-from troutstand.core.rollouts.trial import RolloutView
+from troutstand.core.rollouts.canary import RolloutView
 from troutstand.core.selfreport import LimitShare, SelfReport
 from troutstand.core.targetstate import Running, TargetState
 from troutstand.generated.messages import Hold, ListedState
@@ -124,15 +124,15 @@
             self._apply_rollout(service, pool)
 
     def _apply_rollout(self, service: str, pool: Pool) -> None:
-        pool.trial.follow(self._rollouts.describe(service), self._rollouts.bound)
-        pool.judge_versions()
+        pool.canary.update(self._rollouts.get_service(service), self._rollouts.limit)
+        pool.admit_versions()
         pool.forget_typical()
 
-    def condemn(self, service: str) -> None:
+    def block_canary(self, service: str) -> None:
         """Send nothing more to the version on trial of a service."""
         pool = self.pools[service]
-        pool.trial.condemn()
-        pool.judge_versions()
+        pool.canary.block()
+        pool.admit_versions()
 
     def note_leaving(self, targets: Iterable[str]) -> None:
         """Give no more work to targets that a newer list than one's own shows as leaving.
@@ -143,7 +143,7 @@
         for pool in self.pools.values():
             for name in leaving & set(pool.targets):
                 pool.targets[name].is_listed_leaving = True
-            pool.judge_versions()
+            pool.admit_versions()
 
     def note_notices(
         self, gateway: str, notices: Iterable[TargetNotice], now_s: float
@@ -164,7 +164,7 @@
         was_leaving = state.report.is_leaving
         is_news = state.report.take(gateway, notice, now_s, self._limit_share)
         if state.report.is_leaving and not was_leaving:
-            pool.judge_versions()
+            pool.admit_versions()
         pool.doubts_until_s = max(pool.doubts_until_s, now_s + notice.rest_s)
         return is_news
 
--- a/troutstand/core/targetstate.py
+++ b/troutstand/core/targetstate.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from troutstand.core.rollouts.admission import Standing
+from troutstand.core.rollouts.admission import Admission
 from troutstand.core.scheduling.serviceshares import UNSHARED, ShareTag
 from troutstand.core.selfreport import SelfReport
 from troutstand.core.speed import ReadingFit, ReadingSpeed, ReadingSums, Speed
@@ -78,7 +78,7 @@
     parts: OrderedDict[tuple[str, str], int] = field(default_factory=OrderedDict)
     connections: dict[str, KeptConnections] = field(default_factory=dict)
     # Which requests it may get, by the version that it runs.
-    standing: Standing = Standing.OPEN
+    admission: Admission = Admission.OPEN
     # What it said in its answers, whatever any list shows.
     report: SelfReport = field(default_factory=SelfReport)
     # Whether the list of another process shows it as leaving, until the next list here.
--- a/troutstand/routing/control.py
+++ b/troutstand/routing/control.py
@@ -8,7 +8,7 @@
 
 from troutstand.core.codes import ResultCode, describe_code
 from troutstand.core.errors import TroutstandError, flatten_group
-from troutstand.core.rollouts.book import find_rollout
+from troutstand.core.rollouts.state import find_rollout
 from troutstand.generated.messages import StoredConfiguration
 from troutstand.routing.dialect import ROLLOUTS_PATH, encode_own_rollout
 from troutstand.util.listening import listen
--- a/troutstand/routing/dialect.py
+++ b/troutstand/routing/dialect.py
@@ -16,7 +16,7 @@
 from troutstand.core.configuration import check_configuration
 from troutstand.core.errors import TroutstandError
 from troutstand.core.notices import LEAVING_HEADER, LIMIT_HEADER
-from troutstand.core.rollouts.book import RolloutAsk
+from troutstand.core.rollouts.state import RolloutRequest
 from troutstand.generated.configuration import Configuration
 from troutstand.generated.messages import ListedTarget, RolloutOrder, RolloutState
 from troutstand.routing.targetpages import PageForm, TargetPage, decode_page
@@ -110,7 +110,7 @@
         raise TroutstandError(ResultCode.FIELD_INVALID, f"rollout: {error}") from error
 
 
-def decode_own_rollout(data: bytes) -> RolloutAsk:
+def decode_own_rollout(data: bytes) -> RolloutRequest:
     """Decode an operator's order in the product's own form.
 
     Raises
@@ -119,10 +119,10 @@
         FIELD_INVALID.
     """
     body = decode_rollout_body(data, _RolloutBody)
-    return check_rollout(RolloutAsk(body.service, body.version, body.duration_s))
+    return check_rollout(RolloutRequest(body.service, body.version, body.duration_s))
 
 
-def check_rollout(ask: RolloutAsk) -> RolloutAsk:
+def check_rollout(ask: RolloutRequest) -> RolloutRequest:
     """Return an order whose version and time can be used.
 
     Raises
@@ -166,5 +166,5 @@
     decode_configuration: Callable[[bytes], Configuration] = decode_own_configuration
     name_targets_path: Callable[[str | None], str] = name_own_targets_path
     decode_targets: Callable[[bytes], TargetPage] = decode_own_targets
-    decode_rollout: Callable[[bytes], RolloutAsk] = decode_own_rollout
+    decode_rollout: Callable[[bytes], RolloutRequest] = decode_own_rollout
     encode_rollout: Callable[[RolloutOrder], bytes] = encode_own_rollout
--- a/troutstand/routing/follower.py
+++ b/troutstand/routing/follower.py
@@ -9,7 +9,7 @@
 from troutstand.core.compression import expand
 from troutstand.core.configuration import RouteTable
 from troutstand.core.errors import TroutstandError, flatten_group
-from troutstand.core.rollouts.admission import ExposureBound
+from troutstand.core.rollouts.admission import ExposureLimit
 from troutstand.generated.messages import Contact, ContactAsk, ContactReply
 from troutstand.generated.routing import RoutingRole
 from troutstand.routing.knownrollouts import KnownRollouts
@@ -44,7 +44,7 @@
     ) -> None:
         self.table: RouteTable | None = None
         settings = node.settings
-        bound = ExposureBound(settings.exposure_share, settings.exposure_extra)
+        bound = ExposureLimit(settings.exposure_share, settings.exposure_extra)
         self.rollouts = KnownRollouts(node.events, settings.rollback_s, bound)
         self._node = node
         self._dialect = dialect
--- a/troutstand/routing/knownrollouts.py
+++ b/troutstand/routing/knownrollouts.py
@@ -6,12 +6,12 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from troutstand.core.rollouts.trial import RolloutView
+from troutstand.core.rollouts.canary import RolloutView
 from troutstand.generated.messages import RolloutBook
 from troutstand.util.clock import read_clock_s
 
 if TYPE_CHECKING:
-    from troutstand.core.rollouts.admission import ExposureBound
+    from troutstand.core.rollouts.admission import ExposureLimit
     from troutstand.generated.messages import ContactReply, RolloutOrder
     from troutstand.util.events import EventBus
 
@@ -39,7 +39,7 @@
         What a version on trial may get until its order's deadline.
     """
 
-    def __init__(self, events: EventBus, rollback_s: float, bound: ExposureBound) -> None:
+    def __init__(self, events: EventBus, rollback_s: float, bound: ExposureLimit) -> None:
         self.book = RolloutBook()
         self.version = 0
         self._events = events
--- a/troutstand/routing/rolloutdriver.py
+++ b/troutstand/routing/rolloutdriver.py
@@ -8,9 +8,9 @@
 
 from troutstand.core.errors import TroutstandError
 from troutstand.core.pool import Pool
-from troutstand.core.rollouts.book import find_rollout, is_active
-from troutstand.core.rollouts.judgement import Verdict
-from troutstand.core.rollouts.steps import Situation, plan_step
+from troutstand.core.rollouts.analysis import Verdict
+from troutstand.core.rollouts.planning import RolloutProgress, plan_step
+from troutstand.core.rollouts.state import find_rollout, is_active
 from troutstand.generated.messages import (
     ListedState,
     RolloutAdvance,
@@ -26,7 +26,7 @@
     from collections.abc import Callable
 
     from troutstand.core.dispatch import Dispatcher
-    from troutstand.core.rollouts.steps import Step
+    from troutstand.core.rollouts.planning import Step
     from troutstand.generated.messages import ListedTarget, PeerMessage, RolloutOrder
     from troutstand.routing.follower import Follower
     from troutstand.routing.knownrollouts import KnownRollouts
@@ -84,32 +84,34 @@
 
     def _look_at(self, service: str, order: RolloutOrder, pool: Pool, now_s: float) -> None:
         situation = self._describe(service, order, pool, now_s)
-        pool.trial.ends_s = now_s + order.duration_s - situation.elapsed_s
-        pool.trial.is_cleared = situation.finding.verdict is Verdict.GOOD
-        pool.trial.is_leading = situation.is_leading
+        pool.canary.deadline_s = now_s + order.duration_s - situation.elapsed_s
+        pool.canary.is_healthy = situation.evaluation.verdict is Verdict.GOOD
+        pool.canary.is_primary = situation.is_primary
         self._log_evidence(service, situation, now_s)
         step = plan_step(situation)
         if step is None:
             return
         if step.state is RolloutState.rolled_back:
             # The keepers may take a while to agree; nothing is sent there meanwhile.
-            self._dispatcher.condemn(service)
+            self._dispatcher.block_canary(service)
         if service not in self._asking:
             self._asking.add(service)
             self._node.spawn(self._advance(service, order, step), f"rollout {service}")
 
-    def _describe(self, service: str, order: RolloutOrder, pool: Pool, now_s: float) -> Situation:
+    def _describe(
+        self, service: str, order: RolloutOrder, pool: Pool, now_s: float
+    ) -> RolloutProgress:
         is_switching = order.state is RolloutState.switching
-        return Situation(
+        return RolloutProgress(
             order=order,
-            finding=pool.trial.judge(order.number, now_s),
+            evaluation=pool.canary.evaluate(order.number, now_s),
             elapsed_s=self._known.measure_age(order, now_s),
             switched_s=self._known.measure_switched(order, now_s) if is_switching else 0.0,
             hold_s=pool.hold_s or 0.0,
             old_running=_count_old(pool, order.version),
-            longest_s=self._find_longest(service),
-            affordable_s=_measure_affordable(pool, self._known.measure_age(order, now_s)),
-            lead=self._read_lead(),
+            max_request_s=self._find_longest(service),
+            exposure_left_s=_measure_affordable(pool, self._known.measure_age(order, now_s)),
+            gateway_share=self._read_lead(),
         )
 
     def _find_longest(self, service: str) -> float:
@@ -122,7 +124,7 @@
         ]
         return max(limits_ms) / _MILLISECONDS if limits_ms else _LONGEST_S
 
-    def _log_evidence(self, service: str, situation: Situation, now_s: float) -> None:
+    def _log_evidence(self, service: str, situation: RolloutProgress, now_s: float) -> None:
         if now_s - self._logged_s.get(service, float("-inf")) < _LOG_S:
             return
         self._logged_s[service] = now_s
@@ -131,8 +133,8 @@
             service=service,
             target_version=situation.order.version,
             state=situation.order.state.value,
-            verdict=situation.finding.verdict.value,
-            detail=situation.finding.detail,
+            verdict=situation.evaluation.verdict.value,
+            detail=situation.evaluation.detail,
             elapsed_s=situation.elapsed_s,
             old_running=situation.old_running,
             book=self._known.version,
@@ -202,9 +204,9 @@
 
 def _measure_affordable(pool: Pool, elapsed_s: float) -> float:
     """Return for how long all requests may go to the version on trial, in seconds."""
-    exposure = pool.trial.exposure
+    exposure = pool.canary.exposure
     per_s = sum(exposure.placed.values()) / max(_PERIOD_S, elapsed_s)
-    left = exposure.measure_left(pool.trial.is_leading)
+    left = exposure.compute_remaining(pool.canary.is_primary)
     return left / per_s if per_s else 0.0
 
 
--- a/troutstand/routing/rolloutline.py
+++ b/troutstand/routing/rolloutline.py
@@ -6,13 +6,13 @@
 from typing import TYPE_CHECKING
 
 from troutstand.core.codec import decode_record, encode_record
-from troutstand.core.rollouts.book import abort, advance, begin, note_versions
+from troutstand.core.rollouts.state import abort, advance, begin, record_versions
 from troutstand.generated.messages import Line, RolloutBook, RolloutsTold, StoredConfiguration
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from troutstand.core.rollouts.book import RolloutAsk
+    from troutstand.core.rollouts.state import RolloutRequest
     from troutstand.generated.messages import RolloutAdvance, VersionsSeen
     from troutstand.routing.line import DecidedLine
     from troutstand.util.events import EventBus
@@ -42,7 +42,7 @@
         """
         return decode_book(await self._line.read())
 
-    async def begin(self, ask: RolloutAsk) -> RolloutBook:
+    async def begin(self, ask: RolloutRequest) -> RolloutBook:
         """Take an operator's order and return the book that holds it.
 
         Raises
@@ -72,7 +72,7 @@
 
     async def note_versions(self, seen: VersionsSeen) -> RolloutsTold:
         """Note which version serves where that is not known yet."""
-        return await self._change(lambda book, _: note_versions(book, seen.services))
+        return await self._change(lambda book, _: record_versions(book, seen.services))
 
     async def _change(self, change: Change) -> RolloutsTold:
         """Propose the next book until this change, or none, is needed."""
--- a/troutstand/testing/models/rollout.py
+++ b/troutstand/testing/models/rollout.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
-from troutstand.core.rollouts.admission import Knowledge, Standing, judge_versions
-from troutstand.core.rollouts.book import advance, find_rollout
+from troutstand.core.rollouts.admission import Admission, ServiceRolloutView, admit_versions
+from troutstand.core.rollouts.state import advance, find_rollout
 from troutstand.generated.messages import (
     RolloutBook,
     RolloutOrder,
@@ -122,11 +122,11 @@
             },
         )
 
-    def _judge(self, world: World, decider: Decider) -> dict[str, Standing]:
+    def _judge(self, world: World, decider: Decider) -> dict[str, Admission]:
         age_s = world.now_s - decider.behind_s - decider.confirmed_s
         is_leased = not self.has_lease or age_s < _LEASE_S
         rollout = _make_rollout(decider.known) if decider.known is not None else None
-        return judge_versions(Knowledge(rollout, is_leased, may_sample=True), [_OLD, _NEW])
+        return admit_versions(ServiceRolloutView(rollout, is_leased, may_sample=True), [_OLD, _NEW])
 
     def _is_left(self, world: World) -> bool:
         """Tell whether no decider sends there once the lease from before has run out."""
@@ -134,11 +134,11 @@
         if state is not RolloutState.rolled_back or world.now_s < decided_s + _LEASE_S:
             return True
         knowing = [d for d in world.deciders if d.known is not None]
-        return all(self._judge(world, d)[_NEW] is Standing.CLOSED for d in knowing)
+        return all(self._judge(world, d)[_NEW] is Admission.CLOSED for d in knowing)
 
     def _is_moved(self, world: World) -> bool:
         knowing = [d for d in world.deciders if d.known is RolloutState.completed]
-        return all(self._judge(world, d)[_OLD] is Standing.CLOSED for d in knowing)
+        return all(self._judge(world, d)[_OLD] is Admission.CLOSED for d in knowing)
 
     def _list_steps(self, world: World) -> list[Step[World]]:
         steps: list[Step[World]] = []
--- a/troutstand/tests/steps/platform.py
+++ b/troutstand/tests/steps/platform.py
@@ -15,7 +15,7 @@
 
 from troutstand.core.errors import TroutstandError, flatten_group
 from troutstand.core.notices import read_notice
-from troutstand.core.rollouts.book import RolloutAsk
+from troutstand.core.rollouts.state import RolloutRequest
 from troutstand.generated.configuration import RouteKind
 from troutstand.generated.messages import ListedState, RolloutOrder, RolloutState
 from troutstand.generated.routing import RoutingRole, RoutingSettings
@@ -267,7 +267,7 @@
     _, dialect, _ = load_folder()
     body = {"service": "s", "targetVersion": "v2", "durationS": 12}
     decoded = dialect.PLATFORM_DIALECT.decode_rollout(json.dumps(body).encode())
-    assert decoded == RolloutAsk("s", "v2", 12.0)
+    assert decoded == RolloutRequest("s", "v2", 12.0)
 
 
 @then("a switch is told to the platform as in progress")
--- a/troutstand/tests/steps/rollouts.py
+++ b/troutstand/tests/steps/rollouts.py
@@ -12,12 +12,18 @@
 
 from troutstand.core.codes import ResultCode
 from troutstand.core.errors import TroutstandError
-from troutstand.core.rollouts.admission import ExposureBound, Knowledge, judge_versions
-from troutstand.core.rollouts.book import RolloutAsk, advance, begin, find_rollout, note_versions
-from troutstand.core.rollouts.evidence import Evidence, Outcome
-from troutstand.core.rollouts.judgement import Finding, Verdict, judge
-from troutstand.core.rollouts.steps import Situation, plan_step
-from troutstand.core.rollouts.trial import RolloutView
+from troutstand.core.rollouts.admission import ExposureLimit, ServiceRolloutView, admit_versions
+from troutstand.core.rollouts.analysis import Evaluation, Verdict, evaluate
+from troutstand.core.rollouts.canary import RolloutView
+from troutstand.core.rollouts.outcomes import Outcome, OutcomeCounts
+from troutstand.core.rollouts.planning import RolloutProgress, plan_step
+from troutstand.core.rollouts.state import (
+    RolloutRequest,
+    advance,
+    begin,
+    find_rollout,
+    record_versions,
+)
 from troutstand.generated.messages import (
     ListedState,
     ListedTarget,
@@ -32,7 +38,7 @@
     from behave.runner import Context
 
 _SERVICE = "work"
-_BOUND = ExposureBound(share=0.1, extra=50.0)
+_LIMIT = ExposureLimit(share=0.1, extra=50.0)
 _NUMBER = 7
 
 
@@ -42,7 +48,7 @@
 @given('a rollout book in which "{version}" serves')
 def use_book(context: Context, version: str) -> None:
     context.book = RolloutBook([ServiceRollout(_SERVICE, version)])
-    context.knowledge = Knowledge(context.book.services[0], is_leased=True, may_sample=True)
+    context.view = ServiceRolloutView(context.book.services[0], is_leased=True, may_sample=True)
 
 
 @given("an empty rollout book")
@@ -52,13 +58,13 @@
 
 @when('"{version}" is ordered within {duration_s:d} s')
 def order(context: Context, version: str, duration_s: int) -> None:
-    context.ask = RolloutAsk(_SERVICE, version, float(duration_s))
+    context.ask = RolloutRequest(_SERVICE, version, float(duration_s))
     context.book = begin(context.book, context.ask, _NUMBER, 1000.0)
 
 
 @when('targets of version "{version}" are seen')
 def see_version(context: Context, version: str) -> None:
-    context.book = note_versions(context.book, [ServiceRollout(_SERVICE, version)])
+    context.book = record_versions(context.book, [ServiceRollout(_SERVICE, version)])
 
 
 def _find(context: Context) -> ServiceRollout:
@@ -82,7 +88,7 @@
 @then('an order for "{version}" is refused with {code:d}')
 def check_refused(context: Context, version: str, code: int) -> None:
     try:
-        begin(context.book, RolloutAsk(_SERVICE, version, 12.0), _NUMBER + 1, 1002.0)
+        begin(context.book, RolloutRequest(_SERVICE, version, 12.0), _NUMBER + 1, 1002.0)
     except TroutstandError as error:
         assert error.code is ResultCode(code), error
     else:
@@ -127,24 +133,24 @@
         RolloutOrder(_NUMBER, version, 12.0, 1000.0, RolloutState(state)),
         [version] if state == "rolled_back" else [],
     )
-    context.knowledge = Knowledge(rollout, confirmed == "confirmed", may_sample=True)
+    context.view = ServiceRolloutView(rollout, confirmed == "confirmed", may_sample=True)
 
 
 @then('targets of "{one}" are {first} and targets of "{two}" are {second}')
-def check_standings(context: Context, one: str, first: str, two: str, second: str) -> None:
-    found = judge_versions(context.knowledge, [one, two, "v3"])
+def check_admissions(context: Context, one: str, first: str, two: str, second: str) -> None:
+    found = admit_versions(context.view, [one, two, "v3"])
     assert (found[one].value, found[two].value) == (first, second), found
 
 
-@then('targets of "{version}" are {standing}')
-def check_standing(context: Context, version: str, standing: str) -> None:
-    found = judge_versions(context.knowledge, ["v1", "v2", version])
-    assert found[version].value == standing, found
+@then('targets of "{version}" are {admission}')
+def check_admission(context: Context, version: str, admission: str) -> None:
+    found = admit_versions(context.view, ["v1", "v2", version])
+    assert found[version].value == admission, found
 
 
-@then('where only targets of "{version}" are left, they are {standing}')
-def check_left(context: Context, version: str, standing: str) -> None:
-    assert judge_versions(context.knowledge, [version])[version].value == standing
+@then('where only targets of "{version}" are left, they are {admission}')
+def check_left(context: Context, version: str, admission: str) -> None:
+    assert admit_versions(context.view, [version])[version].value == admission
 
 
 # The sample
@@ -157,7 +163,7 @@
         for v in ("v1", "v2")
         for n in range(count)
     ]
-    view = RolloutView(RolloutBook([rollout]), is_leased=True, may_sample=True, bound=_BOUND)
+    view = RolloutView(RolloutBook([rollout]), is_leased=True, may_sample=True, limit=_LIMIT)
     context.desk.dispatcher.use_rollouts(view)
     context.desk.dispatcher.use_targets(listed, context.desk.now_s)
     context.got = Counter()
@@ -175,8 +181,8 @@
 
 
 @when("the decider finds the version bad")
-def condemn(context: Context) -> None:
-    context.desk.dispatcher.condemn(_SERVICE)
+def block_canary(context: Context) -> None:
+    context.desk.dispatcher.block_canary(_SERVICE)
 
 
 def _come_and_go(context: Context, route: str, attempt: int) -> None:
@@ -217,17 +223,17 @@
 
 @given('all answers of "{version}" failed')
 def fail_all(context: Context, version: str) -> None:
-    evidence = context.desk.dispatcher.pools[_SERVICE].trial.evidence
+    outcomes = context.desk.dispatcher.pools[_SERVICE].canary.outcomes
     for number in range(200):
-        is_trial = number % 2 == 0
-        target = f"{version if is_trial else 'v1'}-{number % 4}"
-        outcome = Outcome("a", target, is_trial, is_failed=is_trial, is_slow=False)
-        evidence.note(outcome, context.desk.now_s)
+        is_canary = number % 2 == 0
+        target = f"{version if is_canary else 'v1'}-{number % 4}"
+        outcome = Outcome("a", target, is_canary, is_failed=is_canary, is_slow=False)
+        outcomes.record(outcome, context.desk.now_s)
 
 
 def _judge_order(context: Context, number: int) -> Verdict:
-    trial = context.desk.dispatcher.pools[_SERVICE].trial
-    return trial.judge(number, context.desk.now_s).verdict
+    canary = context.desk.dispatcher.pools[_SERVICE].canary
+    return canary.evaluate(number, context.desk.now_s).verdict
 
 
 @then("the order is judged {verdict}")
@@ -241,15 +247,15 @@
 
 
 @given("most gateways ask this decider")
-def lead(context: Context) -> None:
-    context.desk.dispatcher.pools[_SERVICE].trial.is_leading = True
+def use_primary(context: Context) -> None:
+    context.desk.dispatcher.pools[_SERVICE].canary.is_primary = True
 
 
 @given("the version on trial is good so far, and {left_s:g} s are left")
 def clear(context: Context, left_s: float) -> None:
-    trial = context.desk.dispatcher.pools[_SERVICE].trial
-    trial.is_cleared = True
-    trial.ends_s = context.desk.now_s + left_s
+    canary = context.desk.dispatcher.pools[_SERVICE].canary
+    canary.is_healthy = True
+    canary.deadline_s = context.desk.now_s + left_s
 
 
 @when('{count:d} requests of route "a" that take {stay_s:g} s come and go')
@@ -284,10 +290,10 @@
     def draw(self, rng: random.Random, outcome: Outcome, now_s: float) -> Outcome:
         """Return an outcome as this version would bring it about."""
         if self.is_one_target:
-            fails = outcome.is_trial and outcome.target.endswith("0")
-            return Outcome(outcome.route, outcome.target, outcome.is_trial, fails, False)
+            fails = outcome.is_canary and outcome.target.endswith("0")
+            return Outcome(outcome.route, outcome.target, outcome.is_canary, fails, False)
         is_hit = (
-            (outcome.is_trial or self.is_shared)
+            (outcome.is_canary or self.is_shared)
             and now_s >= self.from_s
             and (not self.is_one_route or outcome.route == "a")
             and rng.random() < self.share
@@ -295,7 +301,7 @@
         return Outcome(
             outcome.route,
             outcome.target,
-            outcome.is_trial,
+            outcome.is_canary,
             is_hit and not self.is_slow,
             is_hit and self.is_slow,
         )
@@ -304,22 +310,22 @@
 @when("the version on trial answers for {length_s:d} s and {what}")
 def answer(context: Context, length_s: int, what: str) -> None:
     behaviour, rng = _Behaviour(what), random.Random(5)
-    evidence = Evidence(_NUMBER)
+    outcomes = OutcomeCounts(_NUMBER)
     context.verdict = None
     for step in range(length_s * 200):
         now_s = step / 200.0
-        is_trial = step % 20 == 0
-        if is_trial and behaviour.is_silent:
+        is_canary = step % 20 == 0
+        if is_canary and behaviour.is_silent:
             continue
-        target = f"{'new' if is_trial else 'old'}{rng.randrange(context.count)}"
-        plain = Outcome(rng.choice("abc"), target, is_trial, is_failed=False, is_slow=False)
-        evidence.note(behaviour.draw(rng, plain, now_s), now_s)
+        target = f"{'new' if is_canary else 'old'}{rng.randrange(context.count)}"
+        plain = Outcome(rng.choice("abc"), target, is_canary, is_failed=False, is_slow=False)
+        outcomes.record(behaviour.draw(rng, plain, now_s), now_s)
         if step % 50 == 0:
-            finding = judge(evidence, now_s)
-            if finding.verdict is Verdict.BAD:
-                context.verdict = finding.verdict
+            evaluation = evaluate(outcomes, now_s)
+            if evaluation.verdict is Verdict.BAD:
+                context.verdict = evaluation.verdict
                 return
-            context.verdict = finding.verdict
+            context.verdict = evaluation.verdict
 
 
 @then("it is judged {verdict}")
@@ -334,16 +340,16 @@
 def use_order(
     context: Context, duration_s: int, state: str, elapsed_s: float, verdict: str
 ) -> None:
-    context.situation = Situation(
+    context.situation = RolloutProgress(
         order=RolloutOrder(_NUMBER, "v2", float(duration_s), 1000.0, RolloutState(state)),
-        finding=Finding(Verdict(verdict), "tested"),
+        evaluation=Evaluation(Verdict(verdict), "tested"),
         elapsed_s=elapsed_s if state == "in_progress" else 10.0,
         switched_s=elapsed_s if state == "switching" else 0.0,
         hold_s=0.3,
         old_running=0,
-        longest_s=10.0,
-        affordable_s=1.0,
-        lead=1.0,
+        max_request_s=10.0,
+        exposure_left_s=1.0,
+        gateway_share=1.0,
     )
 
 
@@ -353,12 +359,12 @@
 
 @given("{lead:g} of the gateways ask this scheduler")
 def use_lead(context: Context, lead: float) -> None:
-    _change(context, lead=lead)
+    _change(context, gateway_share=lead)
 
 
 @given("all requests may go to the new version for {affordable_s:g} s")
 def use_affordable(context: Context, affordable_s: float) -> None:
-    _change(context, affordable_s=affordable_s)
+    _change(context, exposure_left_s=affordable_s)
 
 
 @given("{count:d} requests run at the old version")
