--- a/benchmarks/decision.py
+++ b/benchmarks/decision.py
@@ -9,7 +9,7 @@
 from benchmarks.report import report
 from troutstand.core.prefix import hash_prefixes
 from troutstand.core.scheduler import Scheduler
-from troutstand.core.table import Table, name_row
+from troutstand.core.table import Table, get_row_id
 from troutstand.generated.messages import Finished, Grant, PlacementAsk
 from troutstand.generated.table import Model, Protocol, Target, Tier, Workspace
 
@@ -24,7 +24,7 @@
         for n in range(targets)
     ]
     for row in rows:
-        table.rows[name_row(row)] = row
+        table.rows[get_row_id(row)] = row
     scheduler = Scheduler("north", 1_000_000, 1, -10.0)
     scheduler.update_table(table)
     return scheduler
--- a/benchmarks/virtual.py
+++ b/benchmarks/virtual.py
@@ -13,7 +13,7 @@
 from troutstand.core.policy import Policy, PolicyName
 from troutstand.core.prefix import PrefixCache, Prefixes, count_tokens, hash_prefixes
 from troutstand.core.scheduler import Scheduler
-from troutstand.core.table import Table, name_row
+from troutstand.core.table import Table, get_row_id
 from troutstand.generated.messages import Finished, Grant, PlacementAsk, Preempt, Shed
 from troutstand.generated.table import Model, Protocol, Target, Tier, Workspace
 from troutstand.testing.mixes import Drawer, Drawn, Mix
@@ -135,7 +135,7 @@
         self._scheduler = Scheduler("north", 100_000, setup.seed, -1.0)
         table = Table()
         for row in [*make_rows(setup), *TIERS, Model(MODEL), *_make_workspaces(setup.mix)]:
-            table.rows[name_row(row)] = row
+            table.rows[get_row_id(row)] = row
         self._scheduler.update_table(table)
 
     def run(self) -> list[Job]:
--- a/troutstand/control/client.py
+++ b/troutstand/control/client.py
@@ -19,7 +19,7 @@
     TableReport,
     TargetsReport,
 )
-from troutstand.core.table import Row, name_row
+from troutstand.core.table import Row, get_row_id
 from troutstand.daemon.refusals import ErrorBody, ErrorEnvelope
 from troutstand.generated.table import Change, RowKey
 
@@ -132,7 +132,7 @@
         deletes: list[Row] | None = None,
     ) -> AcceptReport:
         """Accept an edit of the table."""
-        keys = [RowKey(name.kind, name.name) for name in map(name_row, deletes or [])]
+        keys = [RowKey(name.kind, name.name) for name in map(get_row_id, deletes or [])]
         return self.send_change(process, Change(edit_id, base, upserts, keys))
 
     def send_change(self, process: str, change: Change) -> AcceptReport:
--- a/troutstand/control/main.py
+++ b/troutstand/control/main.py
@@ -20,7 +20,7 @@
 from troutstand.core.codes import ResultCode, describe_code
 from troutstand.core.errors import TroutstandError, flatten_group
 from troutstand.core.reports import DrainReport, EventReport, KeepersReport, StatusReport
-from troutstand.core.table import diff_rows, make_change, name_row
+from troutstand.core.table import diff_rows, get_row_id, make_change
 from troutstand.generated.control import ControlSettings
 from troutstand.generated.settings import Address
 
@@ -249,13 +249,13 @@
     """Show how a table's files differ from the table in force."""
     operator = _make_operator(settings)
     report = operator.read_table(_first_live(operator))
-    differences = diff_rows({name_row(row): row for row in report.rows}, read_table(folder))
+    differences = diff_rows({get_row_id(row): row for row in report.rows}, read_table(folder))
     if json:
-        print_json([(d.name.kind, d.name.name, d.before, d.after) for d in differences])
+        print_json([(d.row_id.kind, d.row_id.name, d.before, d.after) for d in differences])
         return
     for item in differences:
         sign = "+" if item.before is None else "-" if item.after is None else "~"
-        print(f"{sign} {item.name.kind.value} {item.name.name}")
+        print(f"{sign} {item.row_id.kind.value} {item.row_id.name}")
         if item.before is not None:
             print(f"    before {item.before}")
         if item.after is not None:
@@ -280,7 +280,7 @@
     process = _first_live(operator)
     edit_id = edit_id or secrets.token_urlsafe(_EDIT_BYTES)
     print(f"edit {edit_id}, from version {base}", file=sys.stderr)
-    before = {name_row(row): row for row in operator.read_table(process).rows}
+    before = {get_row_id(row): row for row in operator.read_table(process).rows}
     change = make_change(edit_id, base, diff_rows(before, rows))
     report = operator.send_change(process, change)
     write_table(folder, report.version, rows.values())
--- a/troutstand/control/tablefiles.py
+++ b/troutstand/control/tablefiles.py
@@ -10,7 +10,7 @@
 
 from troutstand.core.codes import ResultCode
 from troutstand.core.errors import TroutstandError
-from troutstand.core.table import ROW_CLASSES, Name, Row, check_rows, name_row
+from troutstand.core.table import ROW_CLASSES, Row, RowId, check_rows, get_row_id
 from troutstand.generated.table import RowKind
 
 if TYPE_CHECKING:
@@ -39,7 +39,7 @@
     """Write a table's rows, sorted by name, and the version they are of."""
     folder.mkdir(parents=True, exist_ok=True)
     written: list[Path] = []
-    by_name = {name_row(row): row for row in rows}
+    by_name = {get_row_id(row): row for row in rows}
     for kind in RowKind:
         fields = _list_fields(kind)
         text = io.StringIO()
@@ -113,7 +113,7 @@
     ]
 
 
-def read_table(folder: Path) -> dict[Name, Row]:
+def read_table(folder: Path) -> dict[RowId, Row]:
     """Read and check a table's files.
 
     Raises
@@ -121,14 +121,14 @@
     ExceptionGroup
         Of TroutstandError TABLE_INVALID, one for each fault.
     """
-    rows: dict[Name, Row] = {}
+    rows: dict[RowId, Row] = {}
     errors: list[TroutstandError] = []
     for kind in RowKind:
         for item in _read_file(folder / f"{kind.value}s.csv", kind):
             if isinstance(item, TroutstandError):
                 errors.append(item)
                 continue
-            name = name_row(item)
+            name = get_row_id(item)
             if name in rows:
                 detail = f"{kind.value} {item.name} stands twice"
                 errors.append(TroutstandError(ResultCode.TABLE_INVALID, detail))
--- a/troutstand/core/compression.py
+++ b/troutstand/core/compression.py
@@ -8,7 +8,7 @@
 from troutstand.core.errors import TroutstandError
 
 # What an expanded configuration may take at most.
-MAX_BYTES = 64 << 20
+MAX_DECOMPRESSED_BYTES = 64 << 20
 
 
 def compress(content: bytes) -> bytes:
@@ -16,7 +16,7 @@
     return zlib.compress(content) if content else b""
 
 
-def expand(data: bytes, most_bytes: int = MAX_BYTES) -> bytes:
+def decompress(data: bytes, most_bytes: int = MAX_DECOMPRESSED_BYTES) -> bytes:
     """Return what was compressed.
 
     Raises
--- a/troutstand/core/configuration.py
+++ b/troutstand/core/configuration.py
@@ -93,7 +93,7 @@
         return self.configuration.version
 
     @property
-    def needs_keys(self) -> bool:
+    def requires_keys(self) -> bool:
         """Tell whether requests carry keys at all."""
         return bool(self.configuration.workspaces)
 
--- a/troutstand/core/contacts.py
+++ b/troutstand/core/contacts.py
@@ -13,19 +13,19 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-FORGET_S = 20.0
+CONTACT_TTL_S = 20.0
 _MILLISECONDS = 1000
 
 
 @dataclass(frozen=True)
-class Known:
+class KnownContact:
     """Keep a process's latest contact and when it was last heard, in seconds."""
 
     contact: Contact
-    heard_s: float
+    last_heard_s: float
 
 
-class ContactBook:
+class ContactRegistry:
     """Hold the freshest contact of every process.
 
     A contact passed on by others counts from when they heard it, so that
@@ -33,35 +33,35 @@
     """
 
     def __init__(self) -> None:
-        self._known: dict[ProcessId, Known] = {}
+        self._known: dict[ProcessId, KnownContact] = {}
 
-    def hear(self, contact: Contact, now_s: float) -> bool:
+    def update(self, contact: Contact, now_s: float) -> bool:
         """Take a contact where it is fresher; tell whether the process is new."""
         process = ProcessId(contact.process)
         heard_s = now_s - contact.age_ms / _MILLISECONDS
         held = self._known.get(process)
-        if now_s - heard_s > FORGET_S or (held is not None and held.heard_s >= heard_s):
+        if now_s - heard_s > CONTACT_TTL_S or (held is not None and held.last_heard_s >= heard_s):
             return False
-        self._known[process] = Known(contact, heard_s)
+        self._known[process] = KnownContact(contact, heard_s)
         return held is None
 
-    def forget(self, now_s: float) -> list[ProcessId]:
+    def expire(self, now_s: float) -> list[ProcessId]:
         """Drop and return the processes that were silent for long."""
-        gone = [p for p, known in self._known.items() if now_s - known.heard_s > FORGET_S]
+        gone = [p for p, known in self._known.items() if now_s - known.last_heard_s > CONTACT_TTL_S]
         for process in gone:
             del self._known[process]
         return gone
 
-    def find(self, process: str) -> Known | None:
+    def find(self, process: str) -> KnownContact | None:
         """Return what is known of a process."""
         return self._known.get(ProcessId(process))
 
-    def measure_age(self, process: str, now_s: float) -> float:
+    def get_age_s(self, process: str, now_s: float) -> float:
         """Return the seconds since a process was heard; infinite where it never was."""
         known = self.find(process)
-        return now_s - known.heard_s if known else float("inf")
+        return now_s - known.last_heard_s if known else float("inf")
 
-    def list_role(self, role: str) -> list[ProcessId]:
+    def list_by_role(self, role: str) -> list[ProcessId]:
         """Return the known processes of a role, in a fixed order."""
         return sorted(p for p, known in self._known.items() if known.contact.role == role)
 
@@ -80,19 +80,19 @@
         for process in processes:
             known = self.find(process)
             if known is not None:
-                self._known[ProcessId(process)] = Known(known.contact, now_s)
+                self._known[ProcessId(process)] = KnownContact(known.contact, now_s)
 
     def export(self, roles: Iterable[str], now_s: float) -> list[Contact]:
         """Return the contacts of some roles with their present age."""
         wanted = set(roles)
         return [
-            _set_age(known.contact, now_s - known.heard_s)
+            _with_age(known.contact, now_s - known.last_heard_s)
             for known in self._known.values()
             if known.contact.role in wanted
         ]
 
 
-def _set_age(contact: Contact, age_s: float) -> Contact:
+def _with_age(contact: Contact, age_s: float) -> Contact:
     return Contact(
         process=contact.process,
         host=contact.host,
--- a/troutstand/core/edit.py
+++ b/troutstand/core/edit.py
@@ -40,15 +40,15 @@
 
 
 @dataclass(frozen=True)
-class EditUnknown:
+class EditOutcomeUnknown:
     """Answer that the edit's fate is not known; sending it again tells."""
 
 
-Action = ReadVersion | ProposeVersion | EditAccepted | EditStale | EditUnknown
+Action = ReadVersion | ProposeVersion | EditAccepted | EditStale | EditOutcomeUnknown
 
 
 @dataclass(frozen=True)
-class VersionBlank:
+class VersionEmpty:
     """A majority holds nothing for the version."""
 
 
@@ -60,11 +60,11 @@
 
 
 @dataclass(frozen=True)
-class VersionUnreachable:
+class QuorumUnreachable:
     """No majority answered."""
 
 
-Event = VersionBlank | VersionDecided | VersionUnreachable
+Event = VersionEmpty | VersionDecided | QuorumUnreachable
 
 
 class EditState(Enum):
@@ -105,14 +105,14 @@
             case (EditState.READING, VersionDecided(edit_id)):
                 self._note(edit_id)
                 return self.start()
-            case (EditState.READING, VersionBlank()):
+            case (EditState.READING, VersionEmpty()):
                 return self._judge()
             case (EditState.PROPOSING, VersionDecided(edit_id)):
                 self._note(edit_id)
                 return self._answer()
             case _:
                 self.state = EditState.ENDED
-                return EditUnknown()
+                return EditOutcomeUnknown()
 
     def _note(self, edit_id: str) -> None:
         self._version += 1
--- a/troutstand/core/follower.py
+++ b/troutstand/core/follower.py
@@ -14,7 +14,7 @@
     from troutstand.core.ids import Version
 
 # A peer further behind is sent the whole table.
-KEPT_CHANGES = 2000
+MAX_KEPT_CHANGES = 2000
 # Changes are sent on in messages of about this many bytes.
 PAGE_BYTES = 512 * 1024
 
@@ -31,7 +31,7 @@
         """Return the version in force."""
         return self.table.version
 
-    def list_new(self, message: Changes) -> list[tuple[int, bytes]]:
+    def list_unapplied(self, message: Changes) -> list[tuple[int, bytes]]:
         """Return the changes of a message that come next, in order."""
         skipped = self.version + 1 - message.first
         if skipped < 0:
@@ -44,7 +44,7 @@
         if not self.table.apply(version, decode_record(data, Change)):
             return False
         self._changes[version] = data
-        while len(self._changes) > KEPT_CHANGES:
+        while len(self._changes) > MAX_KEPT_CHANGES:
             self._changes.popitem(last=False)
         return True
 
--- a/troutstand/core/succession.py
+++ b/troutstand/core/succession.py
@@ -17,7 +17,7 @@
 from troutstand.generated.messages import KeeperSet, Member, MemberState
 
 if TYPE_CHECKING:
-    from troutstand.core.contacts import ContactBook
+    from troutstand.core.contacts import ContactRegistry
     from troutstand.generated.messages import Contact, KeepersReply
 
 GONE_S = 2.5
@@ -75,7 +75,7 @@
 def plan_change(
     keepers: KeeperSet,
     own: str,
-    book: ContactBook,
+    book: ContactRegistry,
     now_s: float,
     watching_since_s: float,
     size: int,
@@ -97,7 +97,7 @@
             return _put_member(keepers, member.process, contact)
     is_watching = now_s - watching_since_s > GONE_S
     others = [m for m in keepers.members if m.process != own]
-    gone = [m for m in others if book.measure_age(m.process, now_s) > GONE_S]
+    gone = [m for m in others if book.get_age_s(m.process, now_s) > GONE_S]
     copying = [m for m in keepers.members if m.state is MemberState.copying]
     if any(member not in gone for member in copying):
         return None
@@ -141,18 +141,18 @@
     return KeeperSet(keepers.epoch + 1, members)
 
 
-def _find_fresh(book: ContactBook, process: str, now_s: float) -> Contact | None:
+def _find_fresh(book: ContactRegistry, process: str, now_s: float) -> Contact | None:
     known = book.find(process)
-    if known is None or now_s - known.heard_s > FRESH_S:
+    if known is None or now_s - known.last_heard_s > FRESH_S:
         return None
     return known.contact
 
 
 def _find_candidate(
-    keepers: KeeperSet, own: str, book: ContactBook, now_s: float
+    keepers: KeeperSet, own: str, book: ContactRegistry, now_s: float
 ) -> Contact | None:
     held = {own, *(member.process for member in keepers.members)}
-    for process in book.list_role(KEEPER_ROLE):
+    for process in book.list_by_role(KEEPER_ROLE):
         contact = _find_fresh(book, process, now_s)
         if process not in held and contact is not None and contact.disk_id:
             return contact
--- a/troutstand/core/table.py
+++ b/troutstand/core/table.py
@@ -32,22 +32,22 @@
 }
 _KINDS = {row_class: kind for kind, row_class in ROW_CLASSES.items()}
 # Edit ids are kept for more than a week at the letter's 12,000 changes a day.
-KEPT_EDIT_IDS = 100_000
+MAX_EDIT_IDS = 100_000
 
 
-class Name(NamedTuple):
+class RowId(NamedTuple):
     """Identify a row."""
 
     kind: RowKind
     name: str
 
 
-def name_row(row: Row) -> Name:
+def get_row_id(row: Row) -> RowId:
     """Return what identifies a row."""
-    return Name(_KINDS[type(row)], row.name)
+    return RowId(_KINDS[type(row)], row.name)
 
 
-def name_version(version: int) -> RegisterName:
+def name_version_register(version: int) -> RegisterName:
     """Name the register that holds one version's change."""
     return RegisterName(f"table/{version}")
 
@@ -55,12 +55,12 @@
 class RowDifference(NamedTuple):
     """Show one row before and after."""
 
-    name: Name
+    row_id: RowId
     before: Row | None
     after: Row | None
 
 
-def diff_rows(before: dict[Name, Row], after: dict[Name, Row]) -> list[RowDifference]:
+def diff_rows(before: dict[RowId, Row], after: dict[RowId, Row]) -> list[RowDifference]:
     """List the rows that differ, in order of name."""
     names = sorted(set(before) | set(after))
     return [
@@ -70,21 +70,21 @@
     ]
 
 
-def _check_workspace(row: Workspace, rows: dict[Name, Row]) -> str | None:
-    if Name(RowKind.tier, row.tier) in rows:
+def _check_workspace(row: Workspace, rows: dict[RowId, Row]) -> str | None:
+    if RowId(RowKind.tier, row.tier) in rows:
         return None
     return f"workspace {row.name}: tier {row.tier!r} is not in the table"
 
 
-def _check_target(row: Target, rows: dict[Name, Row]) -> str | None:
+def _check_target(row: Target, rows: dict[RowId, Row]) -> str | None:
     kind = RowKind.model if row.protocol.value == "engine" else RowKind.service
-    missing = [name for name in row.serves if Name(kind, name) not in rows]
+    missing = [name for name in row.serves if RowId(kind, name) not in rows]
     if not missing:
         return None
     return f"target {row.name}: {kind.value} {missing[0]!r} is not in the table"
 
 
-def _check_ranks(rows: dict[Name, Row]) -> list[str]:
+def _check_ranks(rows: dict[RowId, Row]) -> list[str]:
     ranks: dict[int, str] = {}
     problems: list[str] = []
     for row in rows.values():
@@ -96,7 +96,7 @@
     return problems
 
 
-def check_rows(rows: dict[Name, Row]) -> list[str]:
+def check_rows(rows: dict[RowId, Row]) -> list[str]:
     """List what is wrong between the rows of a whole table."""
     problems = _check_ranks(rows)
     tokens: dict[str, str] = {}
@@ -122,7 +122,7 @@
 
     def __init__(self) -> None:
         self.version = Version(0)
-        self.rows: dict[Name, Row] = {}
+        self.rows: dict[RowId, Row] = {}
         self._edits: OrderedDict[str, int] = OrderedDict()
 
     def select(self, row_class: type[R]) -> dict[str, R]:
@@ -134,7 +134,7 @@
         version = self._edits.get(edit_id)
         return None if version is None else Version(version)
 
-    def preview(self, change: Change) -> dict[Name, Row]:
+    def preview(self, change: Change) -> dict[RowId, Row]:
         """Return the rows as they would stand after a change.
 
         Raises
@@ -157,7 +157,7 @@
         _edit_rows(self.rows, change)
         self.version = Version(version)
         self._edits[change.edit_id] = version
-        while len(self._edits) > KEPT_EDIT_IDS:
+        while len(self._edits) > MAX_EDIT_IDS:
             self._edits.popitem(last=False)
         return True
 
@@ -172,21 +172,23 @@
         if version <= self.version:
             return False
         snapshot, *edits = decode_record(packed, list[Change])
-        self.rows = {name_row(row): row for row in snapshot.upserts}
+        self.rows = {get_row_id(row): row for row in snapshot.upserts}
         self._edits = OrderedDict((edit.edit_id, edit.base) for edit in edits)
         self.version = Version(version)
         return True
 
 
-def _edit_rows(rows: dict[Name, Row], change: Change) -> None:
+def _edit_rows(rows: dict[RowId, Row], change: Change) -> None:
     for key in change.deletes:
-        rows.pop(Name(key.kind, key.name), None)
+        rows.pop(RowId(key.kind, key.name), None)
     for row in change.upserts:
-        rows[name_row(row)] = row
+        rows[get_row_id(row)] = row
 
 
 def make_change(edit_id: str, base: int, differences: list[RowDifference]) -> Change:
     """Make the change that carries out differences."""
     upserts = [item.after for item in differences if item.after is not None]
-    deletes = [RowKey(item.name.kind, item.name.name) for item in differences if item.after is None]
+    deletes = [
+        RowKey(item.row_id.kind, item.row_id.name) for item in differences if item.after is None
+    ]
     return Change(edit_id, base, upserts, deletes)
--- a/troutstand/core/listchanges.py
+++ b/troutstand/core/targetlistdiff.py
@@ -22,42 +22,44 @@
 
 
 @dataclass(frozen=True)
-class ListChange:
+class TargetListDiff:
     """Tell what makes one list of targets into another."""
 
-    changed: list[ListedTarget]
-    gone: list[str]
+    updated: list[ListedTarget]
+    removed: list[str]
 
     def apply(self, targets: Iterable[ListedTarget]) -> list[ListedTarget]:
         """Return the list that a list becomes, in the order of the targets' names."""
-        gone = set(self.gone)
+        gone = set(self.removed)
         entries = {t.target: t for t in targets if t.target not in gone}
-        entries.update((entry.target, entry) for entry in self.changed)
+        entries.update((entry.target, entry) for entry in self.updated)
         return sorted(entries.values(), key=lambda entry: entry.target)
 
 
-def find_change(before: Iterable[ListedTarget], now: Iterable[ListedTarget]) -> ListChange:
+def diff_target_lists(
+    before: Iterable[ListedTarget], now: Iterable[ListedTarget]
+) -> TargetListDiff:
     """Return what changed between two lists."""
     old = {entry.target: entry for entry in before}
     new = {entry.target: entry for entry in now}
     changed = [entry for name, entry in new.items() if old.get(name) != entry]
-    return ListChange(changed, [name for name in old if name not in new])
+    return TargetListDiff(changed, [name for name in old if name not in new])
 
 
-class ListHistory:
+class TargetListHistory:
     """Hold what has changed since the lists before the newest one."""
 
     def __init__(self) -> None:
-        self._steps: OrderedDict[str, ListChange] = OrderedDict()
+        self._steps: OrderedDict[str, TargetListDiff] = OrderedDict()
 
-    def note(self, version: str, change: ListChange) -> None:
+    def record(self, version: str, change: TargetListDiff) -> None:
         """Take what made the list of a version into the next one."""
         self._steps.pop(version, None)
         self._steps[version] = change
         while len(self._steps) > _KEPT_CHANGES:
             self._steps.popitem(last=False)
 
-    def find(self, version: str) -> ListChange | None:
+    def find_diff_since(self, version: str) -> TargetListDiff | None:
         """Return all that has changed since a version; None where that is not known."""
         if version not in self._steps:
             return None
@@ -66,13 +68,13 @@
         for known, step in self._steps.items():
             is_later = is_later or known == version
             if is_later:
-                entries.update((name, None) for name in step.gone)
-                entries.update((entry.target, entry) for entry in step.changed)
+                entries.update((name, None) for name in step.removed)
+                entries.update((entry.target, entry) for entry in step.updated)
         changed = [entry for entry in entries.values() if entry is not None]
-        return ListChange(changed, [name for name, entry in entries.items() if entry is None])
+        return TargetListDiff(changed, [name for name, entry in entries.items() if entry is None])
 
 
-class WholeLists:
+class FullListLimiter:
     """Bound how many entries of whole lists are told in a time.
 
     Gateways go by the list that they hold meanwhile; the decider goes by its own.
@@ -82,7 +84,7 @@
         self._room = _ENTRIES_PER_S
         self._at_s = now_s
 
-    def take(self, entries: int, now_s: float) -> bool:
+    def try_acquire(self, entries: int, now_s: float) -> bool:
         """Tell whether a list of so many entries may be told now."""
         self.refill(max(0.0, now_s - self._at_s))
         self._at_s = now_s
--- a/troutstand/daemon/admin.py
+++ b/troutstand/daemon/admin.py
@@ -161,7 +161,7 @@
         return hosts
 
     async def _tell_events(self, request: web.Request) -> web.Response:
-        events = self._node.events.find(request.match_info["request"])
+        events = self._node.events.find_request(request.match_info["request"])
         return _answer(EventReport([format_event(event) for event in events]))
 
     async def _tell_targets(self, _: web.Request) -> web.Response:
--- a/troutstand/daemon/callers.py
+++ b/troutstand/daemon/callers.py
@@ -15,7 +15,7 @@
 from troutstand.daemon.requests import read_attempt, read_body, read_engine_request, read_key
 from troutstand.daemon.services import ServiceCall, ServiceCalls
 from troutstand.generated.messages import ProcessState
-from troutstand.util.listening import break_off, has_begun
+from troutstand.util.listening import abort_response, has_response_started
 
 if TYPE_CHECKING:
     from troutstand.daemon.entry import EntryProcess
@@ -84,7 +84,7 @@
 
     def _refuse(self, request: web.Request, error: TroutstandError) -> web.Response:
         """Refuse, or break off: amid a begun answer a refusal would be read as its body."""
-        if has_begun(request):
+        if has_response_started(request):
             self._entry.events.emit(
                 "answer_broken_off",
                 request.get("request_id", ""),
@@ -92,7 +92,7 @@
                 detail=error.detail,
             )
             # The server library writes nothing to a connection that closes.
-            break_off(request)
+            abort_response(request)
         else:
             self._note_refusal(request, error)
         return make_refusal(error, request.headers.get("Idempotency-Key", "")[:128])
--- a/troutstand/daemon/command.py
+++ b/troutstand/daemon/command.py
@@ -23,12 +23,12 @@
 from troutstand.generated.messages import StoredIdentity
 from troutstand.generated.settings import Role, Settings
 from troutstand.util.clock import ClockLoop
-from troutstand.util.listening import Waits, listen
+from troutstand.util.listening import ServerTimeouts, listen
 
 app = App(name="troutstandd", help="Run one process of troutstand.")
 
 _DISK_ID_BYTES = 12
-_WAITS = Waits(keep_alive_s=3630.0, shutdown_s=1.0)
+_WAITS = ServerTimeouts(keep_alive_s=3630.0, shutdown_s=1.0)
 # Requests make few cycles; looking for them after every 700 allocations, the
 # default, costs more than it frees.
 GC_ALLOCATIONS = 50_000
--- a/troutstand/daemon/configuration.py
+++ b/troutstand/daemon/configuration.py
@@ -11,18 +11,18 @@
 from troutstand.core.edit import (
     Edit,
     EditAccepted,
+    EditOutcomeUnknown,
     EditStale,
-    EditUnknown,
     Event,
     ProposeVersion,
+    QuorumUnreachable,
     ReadVersion,
-    VersionBlank,
     VersionDecided,
-    VersionUnreachable,
+    VersionEmpty,
 )
 from troutstand.core.errors import TroutstandError
 from troutstand.core.ids import ProcessId, Version
-from troutstand.core.table import name_version
+from troutstand.core.table import name_version_register
 from troutstand.generated.messages import Changes, ChangesAsk, Snapshot
 from troutstand.generated.table import Change
 
@@ -77,7 +77,7 @@
             before = self.version
             match message:
                 case Changes():
-                    for version, data in self.follower.list_new(message):
+                    for version, data in self.follower.list_unapplied(message):
                         if self._persist:
                             await self._persist(version, data)
                         self.follower.apply(version, data)
@@ -132,7 +132,7 @@
         """
         while True:
             version = self.version + 1
-            data = await self._registers.read(name_version(version))
+            data = await self._registers.read(name_version_register(version))
             if data is None:
                 return self.version
             await self.learn(Changes(version, version, [data]))
@@ -163,27 +163,29 @@
                     return Version(version)
                 case EditStale():
                     raise self._make_stale(change.base)
-                case EditUnknown():
+                case EditOutcomeUnknown():
                     detail = f"edit {change.edit_id}: no majority answered; send it again"
                     raise TroutstandError(ResultCode.TABLE_UNKNOWN, detail)
             action = edit.receive(event)
 
     async def _read(self, version: int) -> Event:
         try:
-            data = await self._registers.read(name_version(version))
+            data = await self._registers.read(name_version_register(version))
         except TroutstandError:
             # The operator gets an error if the edit fails for want of it.
-            return VersionUnreachable()
+            return QuorumUnreachable()
         if data is None:
-            return VersionBlank()
+            return VersionEmpty()
         return await self._learn_decided(version, data)
 
     async def _propose(self, version: int, change: Change) -> Event:
         try:
-            data = await self._registers.decide(name_version(version), encode_record(change))
+            data = await self._registers.decide(
+                name_version_register(version), encode_record(change)
+            )
         except TroutstandError:
             # The operator gets an error if the edit fails for want of it.
-            return VersionUnreachable()
+            return QuorumUnreachable()
         return await self._learn_decided(version, data)
 
     async def _learn_decided(self, version: int, data: bytes) -> Event:
--- a/troutstand/daemon/engines.py
+++ b/troutstand/daemon/engines.py
@@ -17,7 +17,7 @@
 from troutstand.daemon.relay import EngineRelay, assemble_answer
 from troutstand.daemon.tried import MAX_TARGETS
 from troutstand.generated.messages import Finished, Grant, PlacementAsk
-from troutstand.util.clock import LEAST_SUSPEND_S, read_clock_s
+from troutstand.util.clock import MIN_SUSPEND_S, read_clock_s
 
 if TYPE_CHECKING:
     from troutstand.daemon.entry import EntryProcess
@@ -241,7 +241,7 @@
         fault = error.code.name.lower() if error and is_fault else ""
         ok = error is None and not cancelled
         # What was measured while this host was suspended says nothing of the target.
-        is_measured = progress.suspends.take_suspended_s() < LEAST_SUSPEND_S
+        is_measured = progress.suspends.pop_suspended_s() < MIN_SUSPEND_S
         finished = Finished(
             request=grant.request,
             target=grant.target,
--- a/troutstand/daemon/node.py
+++ b/troutstand/daemon/node.py
@@ -50,9 +50,9 @@
     async def start(self, handler: Handler) -> None:
         """Open the log, the link server and the links."""
         open_log(self.settings.log_file)
-        self.events.write_log()
+        self.events.enable_log()
         if self.settings.statsd:
-            self.events.send_metrics(self.settings.statsd)
+            self.events.enable_metrics(self.settings.statsd)
         limits = self.settings.limits
         self._server = LinkServer(self.identity, self.peers.known, limits, self.events, handler)
         try:
--- a/troutstand/daemon/placement.py
+++ b/troutstand/daemon/placement.py
@@ -28,7 +28,7 @@
     Withdraw,
 )
 from troutstand.util.clock import read_clock_s
-from troutstand.util.noticelog import emit_heard
+from troutstand.util.noticelog import emit_notice_received
 
 if TYPE_CHECKING:
     from troutstand.util.events import EventBus
@@ -150,7 +150,7 @@
         now_s = read_clock_s()
         is_news = self._notices.note(notice, asked_s, now_s)
         if is_news:
-            emit_heard(self.events, request, notice)
+            emit_notice_received(self.events, request, notice)
         if is_news or notice.limit_per_s is not None:
             told = msgspec.structs.replace(notice, asked_age_s=now_s - asked_s)
             self._send(TargetNotices([told]))
--- a/troutstand/daemon/scheduling.py
+++ b/troutstand/daemon/scheduling.py
@@ -27,7 +27,7 @@
     Withdraw,
 )
 from troutstand.util.clock import read_clock_s
-from troutstand.util.noticelog import emit_taken
+from troutstand.util.noticelog import emit_notice_accepted
 
 if TYPE_CHECKING:
     import aiohttp
@@ -258,7 +258,7 @@
             case TargetNotices():
                 sends = self.scheduler.apply_notices(message, now_s)
         for notice in self.scheduler.drain_new_notices():
-            emit_taken(self._node.events, peer, notice)
+            emit_notice_accepted(self._node.events, peer, notice)
         self._dispatch(sends)
         return True
 
--- a/troutstand/routing/calleranswer.py
+++ b/troutstand/routing/calleranswer.py
@@ -7,7 +7,7 @@
 from aiohttp import web
 
 from troutstand.util.clock import read_clock_s
-from troutstand.util.listening import break_off
+from troutstand.util.listening import abort_response
 
 if TYPE_CHECKING:
     from multidict import CIMultiDict
@@ -70,5 +70,5 @@
 
     def break_off(self) -> web.StreamResponse:
         """Close the connection without the end, so that the caller sees the break."""
-        break_off(self._request)
+        abort_response(self._request)
         return self.response
--- a/troutstand/routing/calls.py
+++ b/troutstand/routing/calls.py
@@ -184,7 +184,7 @@
     if not request:
         raise TroutstandError(ResultCode.FIELD_INVALID, f"header {names.request} is missing")
     workspace = None
-    if table.needs_keys and not route.anonymous:
+    if table.requires_keys and not route.anonymous:
         workspace = table.find_workspace(headers.get(names.key, ""))
         if workspace is None:
             raise TroutstandError(ResultCode.TOKEN_UNKNOWN, f"route {route.name!r} needs a key")
--- a/troutstand/routing/follower.py
+++ b/troutstand/routing/follower.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from troutstand.core.codes import ResultCode
-from troutstand.core.compression import expand
+from troutstand.core.compression import decompress
 from troutstand.core.configuration import RouteTable
 from troutstand.core.errors import TroutstandError, flatten_group
 from troutstand.core.rollouts.admission import ExposureLimit
@@ -89,7 +89,7 @@
 
     def _list_keepers(self) -> list[ProcessId]:
         role = RoutingRole.keeper
-        known = self._node.book.list_role(role.value)
+        known = self._node.contacts.list_by_role(role.value)
         if known:
             return known
         ips = {parse_address(seed).ip for seed in self._node.settings.seeds}
@@ -125,7 +125,7 @@
         if reply.known_digest != self._digest:
             self._digest = reply.known_digest
             self._listed = [contact.process for contact in reply.known]
-        self._node.book.refresh(self._listed, read_clock_s())
+        self._node.contacts.refresh(self._listed, read_clock_s())
         if reply.version > self.version:
             self._use(reply.version, reply.content)
         return True
@@ -134,7 +134,7 @@
         now_s = read_clock_s()
         for seed in self._node.settings.seeds:
             process = self._node.name_peer(RoutingRole.keeper, parse_address(seed).ip)
-            if self._node.book.find(process) is None:
+            if self._node.contacts.find(process) is None:
                 contact = Contact(
                     process=process,
                     host="",
@@ -144,12 +144,12 @@
                     state=self._node.state,
                     age_ms=0,
                 )
-                self._node.book.hear(contact, now_s)
+                self._node.contacts.update(contact, now_s)
 
     def _hear(self, contact: Contact, known: list[Contact]) -> None:
         now_s = read_clock_s()
         for heard in (contact, *known):
-            if heard.process != self._node.process and self._node.book.hear(heard, now_s):
+            if heard.process != self._node.process and self._node.contacts.update(heard, now_s):
                 self._node.events.emit("contact_found", peer=heard.process, host=heard.host)
 
     def _note_unreadable(self, version: int, group: BaseExceptionGroup) -> None:
@@ -166,7 +166,7 @@
 
     def _use(self, version: int, content: bytes) -> None:
         try:
-            table = RouteTable(self._dialect.decode_configuration(expand(content)))
+            table = RouteTable(self._dialect.decode_configuration(decompress(content)))
         except* TroutstandError as group:
             self._note_unreadable(version, group)
         else:
--- a/troutstand/routing/gateway.py
+++ b/troutstand/routing/gateway.py
@@ -22,7 +22,7 @@
 from troutstand.routing.relay import Sender
 from troutstand.routing.targetlist import TargetList
 from troutstand.util.clock import read_clock_s
-from troutstand.util.listening import MAX_HEADER_BYTES, listen, write_whole_answer
+from troutstand.util.listening import MAX_HEADER_BYTES, listen, write_full_response
 
 if TYPE_CHECKING:
     from troutstand.core.configuration import RouteTable
@@ -179,7 +179,7 @@
             response.force_close()
         # The caller left; its answer is logged, and nobody is there to be told.
         with contextlib.suppress(ConnectionError):
-            if not await write_whole_answer(request, response):
+            if not await write_full_response(request, response):
                 self._note_second_answer(request, response)
 
     def _note_second_answer(self, request: web.BaseRequest, response: web.StreamResponse) -> None:
--- a/troutstand/routing/handling.py
+++ b/troutstand/routing/handling.py
@@ -18,7 +18,7 @@
 from troutstand.routing.refusals import make_refusal
 from troutstand.routing.relay import SendError, Sent, filter_headers
 from troutstand.routing.streams import EventEnd, EventSplitter
-from troutstand.util.clock import LEAST_SUSPEND_S, SuspendWatch, read_clock_s
+from troutstand.util.clock import MIN_SUSPEND_S, SuspendWatch, read_clock_s
 
 if TYPE_CHECKING:
     from troutstand.routing.calls import Call
@@ -140,7 +140,7 @@
 
     def _end(self, placed: Placed, ending: Ending, started_s: float, is_gone: bool) -> None:
         # What was measured while this host was suspended says nothing of the target.
-        is_measured = self._suspends.take_suspended_s() < LEAST_SUSPEND_S
+        is_measured = self._suspends.pop_suspended_s() < MIN_SUSPEND_S
         ended = Ended(
             self._call.request,
             placed.target,
@@ -218,7 +218,7 @@
 
     def _note_first(self, sent: Sent, first_s: float) -> None:
         self._first_s = first_s
-        is_measured = self._suspends.peek_suspended_s() < LEAST_SUSPEND_S
+        is_measured = self._suspends.peek_suspended_s() < MIN_SUSPEND_S
         told_s = first_s if is_measured else -1.0
         self._gateway.placement.note_first(self._call.request, told_s)
 
--- a/troutstand/routing/heartbeats.py
+++ b/troutstand/routing/heartbeats.py
@@ -110,7 +110,7 @@
         ready, since keepers that have just started learn of schedulers one by one
         (restart of a site of 6 gateways and 3 keepers, from its logs).
         """
-        known = set(self._node.book.list_role(RoutingRole.scheduler.value))
+        known = set(self._node.contacts.list_by_role(RoutingRole.scheduler.value))
         ips = {parse_address(seed).ip for seed in self._node.settings.seeds}
         guessed = {self._node.name_peer(RoutingRole.scheduler, ip) for ip in ips}
         found = {process for process in guessed if self._is_live(process)}
--- a/troutstand/routing/keeper.py
+++ b/troutstand/routing/keeper.py
@@ -11,7 +11,7 @@
 from troutstand.core.acceptor import Acceptor, list_voters
 from troutstand.core.codec import encode_record
 from troutstand.core.codes import ResultCode
-from troutstand.core.compression import compress, expand
+from troutstand.core.compression import compress, decompress
 from troutstand.core.errors import TroutstandError
 from troutstand.core.succession import FIRST_DISK, form_first_set
 from troutstand.daemon.links import ask_oneself
@@ -240,7 +240,7 @@
         """Keep the decided content of a line and tell the other keepers."""
         if not await self._keep(record):
             return
-        for process in self.node.book.list_role(RoutingRole.keeper.value):
+        for process in self.node.contacts.list_by_role(RoutingRole.keeper.value):
             if process != self.node.process:
                 self.node.send(process, Learned(record.version, record.content, record.line))
 
@@ -269,12 +269,12 @@
         is_behind = ask.contact.version < held.version
         rollouts = self.acceptor.rollouts
         now_s = read_clock_s()
-        digest = self.node.book.digest(_SHARED_ROLES)
+        digest = self.node.contacts.digest(_SHARED_ROLES)
         # Other keepers need the ages; the rest only whom there is.
         is_known = digest == ask.known_digest
         return ContactReply(
             contact=self._describe(),
-            known=[] if is_known else self.node.book.export(_SHARED_ROLES, now_s),
+            known=[] if is_known else self.node.contacts.export(_SHARED_ROLES, now_s),
             known_digest=digest,
             version=held.version if is_behind else 0,
             content=self._compress_held() if is_behind else b"",
@@ -292,7 +292,7 @@
         heard = [
             voter
             for voter in voters
-            if voter == self.node.process or self.node.book.measure_age(voter, now_s) < _BACKED_S
+            if voter == self.node.process or self.node.contacts.get_age_s(voter, now_s) < _BACKED_S
         ]
         return len(heard) > len(voters) // 2
 
@@ -306,7 +306,7 @@
     def _hear(self, contact: Contact, known: list[Contact]) -> None:
         now_s = read_clock_s()
         for heard in (contact, *known):
-            if heard.process != self.node.process and self.node.book.hear(heard, now_s):
+            if heard.process != self.node.process and self.node.contacts.update(heard, now_s):
                 self.node.events.emit("contact_found", peer=heard.process, host=heard.host)
 
     async def _run_contacts(self) -> None:
@@ -326,14 +326,14 @@
         seeds = {
             self.node.name_peer(role, parse_address(seed).ip) for seed in self.node.settings.seeds
         }
-        known = set(self.node.book.list_role(role.value))
+        known = set(self.node.contacts.list_by_role(role.value))
         return (seeds | known) - {self.node.process}
 
     async def _contact(self, process: ProcessId) -> None:
         now_s = read_clock_s()
         ask = ContactAsk(
             self._describe(),
-            self.node.book.export(_SHARED_ROLES, now_s),
+            self.node.contacts.export(_SHARED_ROLES, now_s),
             rollouts_version=self.acceptor.rollouts.version,
         )
         try:
@@ -358,7 +358,7 @@
     def _expand(self, process: ProcessId, data: bytes) -> bytes | None:
         """Return a contact's content, or None where it is broken, which is logged once."""
         try:
-            content = expand(data)
+            content = decompress(data)
         except TroutstandError as error:
             if process not in self._unreadable:
                 self._unreadable.add(process)
--- a/troutstand/routing/main.py
+++ b/troutstand/routing/main.py
@@ -14,7 +14,7 @@
 from troutstand.generated.routing import RoutingRole
 from troutstand.routing.startup import load_routing_settings
 from troutstand.util.clock import ClockLoop
-from troutstand.util.reloadsignal import follow_reload, ignore_reload
+from troutstand.util.reloadsignal import ignore_reload, install_reload_handler
 
 if TYPE_CHECKING:
     from pathlib import Path
@@ -66,7 +66,7 @@
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stopping.set)
-    follow_reload(loop, partial(_reload, process, path))
+    install_reload_handler(loop, partial(_reload, process, path))
     await process.start()
     gc.freeze()
     gc.set_threshold(_GC_ALLOCATIONS)
--- a/troutstand/routing/node.py
+++ b/troutstand/routing/node.py
@@ -11,7 +11,7 @@
 
 from troutstand.core.clock import HybridClock
 from troutstand.core.codes import ResultCode
-from troutstand.core.contacts import ContactBook
+from troutstand.core.contacts import ContactRegistry
 from troutstand.core.errors import TroutstandError
 from troutstand.core.ids import Incarnation, ProcessId, name_process
 from troutstand.core.scheduling.options import LoadOptions
@@ -67,7 +67,7 @@
         self.incarnation = Incarnation(secrets.token_hex(_INCARNATION_BYTES))
         self.random = random.Random(secrets.randbits(64))
         self.state = ProcessState.starting
-        self.book = ContactBook()
+        self.contacts = ContactRegistry()
         name = name_process(settings.host, settings.role.value)
         self.events = EventBus(name, HybridClock(time.time))
         self.identity = Identity(settings.site, self.process, bytes.fromhex(settings.link_key_hex))
@@ -111,7 +111,7 @@
     def open_events(self) -> None:
         """Begin to log, on standard output."""
         open_standard_output()
-        self.events.write_log()
+        self.events.enable_log()
         self.events.emit("process_started", incarnation=self.incarnation, address=self.process)
 
     async def open_metrics(self) -> None:
@@ -199,7 +199,7 @@
 
     def forget_silent(self, now_s: float) -> None:
         """Drop the contacts and links of processes that were silent for long."""
-        for process in self.book.forget(now_s):
+        for process in self.contacts.expire(now_s):
             self.drop_link(process)
             self.events.emit("contact_forgotten", peer=process)
 
--- a/troutstand/routing/placement.py
+++ b/troutstand/routing/placement.py
@@ -44,7 +44,7 @@
 )
 from troutstand.routing.targetlist import ListUnreadError
 from troutstand.util.clock import read_clock_s
-from troutstand.util.noticelog import emit_heard
+from troutstand.util.noticelog import emit_notice_received
 
 if TYPE_CHECKING:
     from troutstand.core.configuration import RouteTable
@@ -280,7 +280,7 @@
         """
         is_news = self._notices.note(notice, asked_s, read_clock_s())
         if is_news:
-            emit_heard(self._node.events, request, notice)
+            emit_notice_received(self._node.events, request, notice)
         if is_news or notice.limit_per_s is not None:
             self._tell_notice(notice.target)
 
--- a/troutstand/routing/replacement.py
+++ b/troutstand/routing/replacement.py
@@ -76,15 +76,15 @@
 
     def _is_live(self, member: Member, now_s: float) -> bool:
         """Tell whether a member was heard lately with the disk that the set names."""
-        known = self._keeper.node.book.find(member.process)
-        if known is None or now_s - known.heard_s > FRESH_S:
+        known = self._keeper.node.contacts.find(member.process)
+        if known is None or now_s - known.last_heard_s > FRESH_S:
             return False
         return known.contact.disk_id == member.disk_id
 
     async def _change(self, keepers: KeeperSet) -> None:
         size = 2 * self._keeper.node.settings.disks_lost + 1
         now_s = read_clock_s()
-        book = self._keeper.node.book
+        book = self._keeper.node.contacts
         following = plan_change(
             keepers, self._keeper.node.process, book, now_s, self._watching_since_s, size
         )
--- a/troutstand/routing/rolloutdriver.py
+++ b/troutstand/routing/rolloutdriver.py
@@ -151,7 +151,7 @@
 
     async def _ask(self, message: PeerMessage) -> None:
         """Ask one keeper, the next one each time; a step that fails is planned again."""
-        keepers = self._node.book.list_role(RoutingRole.keeper.value)
+        keepers = self._node.contacts.list_by_role(RoutingRole.keeper.value)
         if not keepers:
             return
         self._turn += 1
--- a/troutstand/routing/scheduler.py
+++ b/troutstand/routing/scheduler.py
@@ -8,7 +8,7 @@
 
 from troutstand.core.codes import ResultCode
 from troutstand.core.dispatch import Dispatcher
-from troutstand.core.knowngateways import SILENT_S, KnownGateways
+from troutstand.core.gatewayregistry import GATEWAY_TIMEOUT_S, GatewayRegistry
 from troutstand.core.quota import QuotaBounds, Quotas
 from troutstand.core.retries import RetryBudget
 from troutstand.generated.messages import (
@@ -37,7 +37,7 @@
 from troutstand.routing.rolloutdriver import RolloutDriver
 from troutstand.routing.targetlist import ListUnreadError, TargetList, ToldList
 from troutstand.util.clock import read_clock_s
-from troutstand.util.noticelog import emit_taken
+from troutstand.util.noticelog import emit_notice_accepted
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable
@@ -77,10 +77,10 @@
         self.dispatcher = Dispatcher(self.quotas, self.retries, options=self.node.load_options)
         self.follower = Follower(self.node, dialect, self._use_table)
         self.targets = TargetList(settings.target_list, dialect)
-        self._gateways = KnownGateways()
+        self._gateways = GatewayRegistry()
         self._load_report = LoadReport(self.node)
         self.rollouts = RolloutDriver(
-            self.node, self.dispatcher, self.follower, self._gateways.measure_lead
+            self.node, self.dispatcher, self.follower, self._gateways.get_attached_share
         )
         self._pending: dict[tuple[str, str], asyncio.Future[PeerMessage | None]] = {}
         self._limits: dict[str, tuple[float, float]] = {}
@@ -149,7 +149,7 @@
 
     def _note_notices(self, peer: ProcessId, notices: list[TargetNotice], now_s: float) -> None:
         for notice in self.dispatcher.note_notices(peer, notices, now_s):
-            emit_taken(self.node.events, peer, notice)
+            emit_notice_accepted(self.node.events, peer, notice)
 
     def _settle(self, owner: str, request: str, answer: PeerMessage | None) -> bool:
         future = self._pending.pop((owner, request), None)
@@ -190,7 +190,7 @@
             self._drop(peer, "asks another scheduler", now_s)
         if not ask.is_attached:
             self._release_limits(peer)
-        self._gateways.note(peer, ask, now_s)
+        self._gateways.record_heartbeat(peer, ask, now_s)
         is_repeated = (
             is_known and seen is not None and seen.is_attached and seen.attachment == ask.attachment
         )
@@ -222,7 +222,7 @@
             crashers=len(ask.crashes),
             notices=len(ask.notices),
             fullest=max((sum(level.taken) / _THOUSANDTHS for level in ask.levels), default=0.0),
-            gateways=self._gateways.site,
+            gateways=self._gateways.gateway_count,
         )
 
     def _inherit_limits(self, peer: ProcessId, ask: AttachAsk, now_s: float) -> None:
@@ -234,14 +234,14 @@
         if not ask.levels:
             return
         self._release_limits(peer)
-        portion = ask.part or 1.0 / self._gateways.site
+        portion = ask.part or 1.0 / self._gateways.gateway_count
         for level in ask.levels:
             self.quotas.inherit(level.workspace, level.taken, portion, now_s)
-        self._gateways.take_part(peer)
+        self._gateways.mark_usage_counted(peer)
 
     def _release_limits(self, peer: ProcessId) -> None:
         """Let what was taken of a gateway's part go with it."""
-        share = self._gateways.release_part(peer)
+        share = self._gateways.release_usage(peer)
         if share:
             self.quotas.release(share)
 
@@ -253,12 +253,12 @@
         told = self.targets.tell(ask.targets_version, now_s) if is_taken else ToldList()
         crashes = self.dispatcher.crashes
         has_crashes = ask.is_attached and ask.crashes_version != crashes.version
-        most_asked = self._gateways.find_most_asked()
+        most_asked = self._gateways.find_most_used_scheduler()
         return Attached(
             incarnation=self.node.incarnation,
             period_s=max(_MIN_PERIOD_S, _PERIOD_PER_GATEWAY_S * len(self._gateways)),
             version=self.follower.version,
-            gateways=self._gateways.site,
+            gateways=self._gateways.gateway_count,
             attached=self._gateways.count_attached(),
             targets_version=self.targets.version,
             targets=told.targets,
@@ -298,13 +298,13 @@
 
     def _share(self) -> None:
         """Hold the share of limits that belongs to the gateways served here."""
-        share = self._gateways.measure_share()
+        share = self._gateways.get_limit_share()
         self.quotas.share = share
         self.retries.share = share
         self.dispatcher.use_limit_share(share, read_clock_s())
 
     def _drop_silent(self, now_s: float) -> None:
-        for gateway, silent_s in self._gateways.take_silent(now_s).items():
+        for gateway, silent_s in self._gateways.detach_silent(now_s).items():
             self._drop(gateway, f"silent for {silent_s:.1f} s", now_s)
         self._share()
 
@@ -364,9 +364,9 @@
         while True:
             await asyncio.sleep(_TICK_S if self._gateways.count_attached() else _STANDBY_TICK_S)
             now_s = read_clock_s()
-            if now_s - last_s > SILENT_S:
+            if now_s - last_s > GATEWAY_TIMEOUT_S:
                 # This process stood still, so that the gateways' silence is its own.
-                self._gateways.forgive_silence(now_s)
+                self._gateways.reset_silence(now_s)
             last_s = now_s
             self._drop_silent(now_s)
             self._follow_rollouts(now_s)
--- a/troutstand/routing/targetlist.py
+++ b/troutstand/routing/targetlist.py
@@ -10,7 +10,12 @@
 
 from troutstand.core.codes import ResultCode
 from troutstand.core.errors import TroutstandError
-from troutstand.core.listchanges import ListChange, ListHistory, WholeLists, find_change
+from troutstand.core.targetlistdiff import (
+    FullListLimiter,
+    TargetListDiff,
+    TargetListHistory,
+    diff_target_lists,
+)
 from troutstand.generated.messages import ListedState
 from troutstand.routing.exchange import ConnectionPool, ExchangeError, write_head
 from troutstand.routing.targetpages import SoundEntries, SpoiledEntry, TargetPage
@@ -55,8 +60,8 @@
     def __init__(self, address: str, dialect: Dialect) -> None:
         self.targets: list[ListedTarget] = []
         self.version = ""
-        self.whole_lists = WholeLists(read_clock_s())
-        self._history = ListHistory()
+        self.full_list_limiter = FullListLimiter(read_clock_s())
+        self._history = TargetListHistory()
         self._address = address
         self._dialect = dialect
         self._pool = ConnectionPool(_CONNECT_S)
@@ -68,7 +73,7 @@
     def install(self, targets: list[ListedTarget], version: str) -> None:
         """Take a list of another version."""
         if self.version and version != self.version:
-            self._history.note(self.version, find_change(self.targets, targets))
+            self._history.record(self.version, diff_target_lists(self.targets, targets))
         self.targets, self.version = targets, version
 
     def take(self, told: Attached) -> bool:
@@ -79,7 +84,7 @@
         if told.targets_base != self.version:
             # Another list came meanwhile; the next heartbeat tells what has changed since.
             return False
-        change = ListChange(told.targets, told.gone)
+        change = TargetListDiff(told.targets, told.gone)
         self.install(change.apply(self.targets), told.targets_version)
         return True
 
@@ -91,10 +96,10 @@
         """
         if version == self.version:
             return ToldList()
-        change = self._history.find(version)
+        change = self._history.find_diff_since(version)
         if change is not None:
-            return ToldList(True, change.changed, change.gone, version)
-        if self.whole_lists.take(len(self.targets), now_s):
+            return ToldList(True, change.updated, change.removed, version)
+        if self.full_list_limiter.try_acquire(len(self.targets), now_s):
             return ToldList(True, self.targets)
         # It goes by the list that it has, and asks again with its next heartbeat.
         return ToldList()
--- a/troutstand/testing/models/edit.py
+++ b/troutstand/testing/models/edit.py
@@ -8,15 +8,15 @@
     Action,
     Edit,
     EditAccepted,
+    EditOutcomeUnknown,
     EditStale,
     EditState,
-    EditUnknown,
     Event,
     ProposeVersion,
+    QuorumUnreachable,
     ReadVersion,
-    VersionBlank,
     VersionDecided,
-    VersionUnreachable,
+    VersionEmpty,
 )
 from troutstand.testing.models.check import ModelSpec, Step
 
@@ -102,7 +102,7 @@
             case ReadVersion(version):
                 return [
                     self._take(world, index, _read(world, version), f"reads {version}"),
-                    self._take(world, index, VersionUnreachable(), "cannot read"),
+                    self._take(world, index, QuorumUnreachable(), "cannot read"),
                 ]
             case ProposeVersion(version):
                 return self._propose(world, index, version)
@@ -116,7 +116,7 @@
         late = replace(world, ghosts=world.ghosts | {(version, edit_id)})
         return [
             self._take(written, index, decided, f"proposes {version}"),
-            self._take(late, index, VersionUnreachable(), f"proposes {version}, accept late"),
+            self._take(late, index, QuorumUnreachable(), f"proposes {version}, accept late"),
         ]
 
     def _take(self, world: World, index: int, event: Event, label: str) -> Step[World]:
@@ -133,7 +133,7 @@
 
 
 def _store(world: World, index: int, operator: Operator, edit: Edit, action: Action) -> World:
-    kept = None if isinstance(action, EditAccepted | EditStale | EditUnknown) else action
+    kept = None if isinstance(action, EditAccepted | EditStale | EditOutcomeUnknown) else action
     operator = replace(operator, edit=(edit.state, edit._version, edit._known), action=kept)
     operators = (*world.operators[:index], operator, *world.operators[index + 1 :])
     return replace(world, operators=operators)
@@ -142,7 +142,7 @@
 def _read(world: World, version: int) -> Event:
     if version <= len(world.registers):
         return VersionDecided(world.registers[version - 1])
-    return VersionBlank()
+    return VersionEmpty()
 
 
 def _write(world: World, version: int, edit_id: str) -> World:
--- a/troutstand/testing/models/succession.py
+++ b/troutstand/testing/models/succession.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, replace
 
 from troutstand.core.acceptor import list_voters
-from troutstand.core.contacts import ContactBook
+from troutstand.core.contacts import ContactRegistry
 from troutstand.core.ids import RegisterName
 from troutstand.core.succession import count_needed, form_first_set, plan_change, promote
 from troutstand.generated.messages import (
@@ -37,7 +37,7 @@
 
 def _plan_second(first: KeeperSet, gone: str) -> KeeperSet:
     """Return the set that the daemon's own rule plans where one keeper is silent."""
-    book = ContactBook()
+    book = ContactRegistry()
     for name in _NAMES:
         contact = Contact(
             process=name,
@@ -49,7 +49,7 @@
             age_ms=_SILENT_MS if name == gone else 0,
             disk_id=_SPARE_DISK if name == _NAMES[_SPARE] else _FIRST_DISK,
         )
-        book.hear(contact, _NOW_S)
+        book.update(contact, _NOW_S)
     planned = plan_change(first, "k0", book, _NOW_S, 0.0, _SIZE)
     assert planned is not None
     return planned
--- a/troutstand/tests/steps/attaching.py
+++ b/troutstand/tests/steps/attaching.py
@@ -155,7 +155,7 @@
 @then("within {length_s:g} s all hold its list")
 def check_all_later(context: Context, length_s: float) -> None:
     for _ in range(int(length_s)):
-        context.scheduler.targets.whole_lists.refill(1.0)
+        context.scheduler.targets.full_list_limiter.refill(1.0)
         beat_all(context)
         if _count_equal(context) == len(context.held):
             return
--- a/troutstand/tests/steps/begun.py
+++ b/troutstand/tests/steps/begun.py
@@ -22,7 +22,7 @@
 from troutstand.testing.standins import ContinuedAnswer, make_event
 from troutstand.tests.steps.routed import open_scene
 from troutstand.util.events import EventBus
-from troutstand.util.listening import write_whole_answer
+from troutstand.util.listening import write_full_response
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
@@ -135,7 +135,7 @@
     await first.prepare(request)
     await first.write(_WRITTEN)
     second = web.Response(status=500, text="broken")
-    assert not await write_whole_answer(request, second)
+    assert not await write_full_response(request, second)
     return second
 
 
@@ -202,5 +202,5 @@
 
 @then("the log tells that the answer was broken off with {code:d}")
 def check_app_log(context: Context, code: int) -> None:
-    told = [event for event in context.entry.events.kept if event.name == "answer_broken_off"]
+    told = [event for event in context.entry.events.recent if event.name == "answer_broken_off"]
     assert [int(event.code) for event in told] == [code], told
--- a/troutstand/tests/steps/clock.py
+++ b/troutstand/tests/steps/clock.py
@@ -17,7 +17,7 @@
 from troutstand.routing.follower import Follower
 from troutstand.tests.steps.platform import ROOT
 from troutstand.util import clock
-from troutstand.util.clock import LEAST_SUSPEND_S, ClockLoop, SuspendWatch
+from troutstand.util.clock import MIN_SUSPEND_S, ClockLoop, SuspendWatch
 
 if TYPE_CHECKING:
     from behave.runner import Context
@@ -34,13 +34,13 @@
         self.suspended_s = 0.0
         self.passed_s = 0.0
 
-    def read_awake_s(self) -> float:
+    def read_monotonic_s(self) -> float:
         """Return the steady clock."""
         return time.monotonic() + self.passed_s
 
     def read_clock_s(self) -> float:
         """Return the clock that counts suspends."""
-        return self.read_awake_s() + self.suspended_s
+        return self.read_monotonic_s() + self.suspended_s
 
 
 @then("no other module of the product reads a steady clock")
@@ -55,7 +55,7 @@
 @given("a clock that others can suspend")
 def use_clocks(context: Context) -> None:
     clocks = context.clocks = TwoClocks()
-    for name in ("read_awake_s", "read_clock_s"):
+    for name in ("read_monotonic_s", "read_clock_s"):
         patch = mock.patch.object(clock, name, getattr(clocks, name))
         patch.start()
         context.add_cleanup(patch.stop)
@@ -76,14 +76,14 @@
 @then("{length_s:d} s have passed, and a suspend of {told_s:d} s is told once")
 def check_told(context: Context, length_s: int, told_s: int) -> None:
     assert length_s <= clock.read_clock_s() - context.began_s < length_s + 1
-    assert abs(context.watch.take_suspended_s() - told_s) < LEAST_SUSPEND_S
-    assert context.watch.take_suspended_s() < LEAST_SUSPEND_S
+    assert abs(context.watch.pop_suspended_s() - told_s) < MIN_SUSPEND_S
+    assert context.watch.pop_suspended_s() < MIN_SUSPEND_S
 
 
 @then("{length_s:d} s have passed, and no suspend is told")
 def check_untold(context: Context, length_s: int) -> None:
     assert length_s <= clock.read_clock_s() - context.began_s < length_s + 1
-    assert context.watch.take_suspended_s() < LEAST_SUSPEND_S
+    assert context.watch.pop_suspended_s() < MIN_SUSPEND_S
 
 
 @when("a timer of {timer_s:d} s is set and the host is suspended for {length_s:d} s")
@@ -118,14 +118,14 @@
     now_s = clock.read_clock_s()
     for voter in (*voters, own):
         context.holder.count_vote(voter, LeaseVote(True, own, 0), now_s)
-    context.steady_s = clock.read_awake_s() - now_s
+    context.steady_s = clock.read_monotonic_s() - now_s
     assert context.holder.is_held(clock.read_clock_s())
 
 
 @then("the lease is not held by the clock, though the steady one says so")
 def check_lease(context: Context) -> None:
     assert not context.holder.is_held(clock.read_clock_s())
-    assert context.holder.is_held(clock.read_awake_s() - context.steady_s)
+    assert context.holder.is_held(clock.read_monotonic_s() - context.steady_s)
 
 
 @given("a process that has just heard of a keeper")
--- a/troutstand/tests/steps/compression.py
+++ b/troutstand/tests/steps/compression.py
@@ -1,4 +1,4 @@
-"""Ask a keeper for large configurations, and expand what is spoiled."""
+"""Ask a keeper for large configurations, and decompress what is spoiled."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from behave import given, then, when
 
 from troutstand.core.codes import ResultCode
-from troutstand.core.compression import compress, expand
+from troutstand.core.compression import compress, decompress
 from troutstand.core.errors import TroutstandError
 from troutstand.core.ids import ProcessId
 from troutstand.daemon.links import Frame, encode_frame
@@ -96,7 +96,7 @@
 @then("it expands to the keeper's configuration")
 def check_expanded(context: Context) -> None:
     assert context.reply.version == _VERSION
-    assert expand(context.reply.content) == context.content
+    assert decompress(context.reply.content) == context.content
 
 
 @then("one that has the version is sent nothing")
@@ -114,7 +114,7 @@
         case "broken":
             data = b"?" + data[1:]
     try:
-        expand(data, _SMALL_BYTES if fault == "too large" else 1 << 20)
+        decompress(data, _SMALL_BYTES if fault == "too large" else 1 << 20)
     except TroutstandError as error:
         assert error.code == ResultCode(code), error
     else:
--- a/troutstand/tests/steps/control.py
+++ b/troutstand/tests/steps/control.py
@@ -14,7 +14,7 @@
 from troutstand.core.codes import ResultCode
 from troutstand.core.errors import TroutstandError, flatten_group
 from troutstand.core.ids import ProcessId
-from troutstand.core.table import name_row
+from troutstand.core.table import get_row_id
 from troutstand.generated.settings import Address
 from troutstand.testing.site import Site, SitePlan
 from troutstand.tests.environment import make_folder
@@ -42,7 +42,7 @@
 
 @then("the rows are the same")
 def assert_same(context: Context) -> None:
-    assert context.read == {name_row(row): row for row in context.rows}
+    assert context.read == {get_row_id(row): row for row in context.rows}
 
 
 def spoil_file(folder: Path, name: str, old: str, new: str) -> None:
@@ -103,7 +103,7 @@
 
 @then("the merged lines stand in the order in which things happened")
 def assert_merged(context: Context) -> None:
-    events = [*context.behind.kept, *context.ahead.kept]
+    events = [*context.behind.recent, *context.ahead.recent]
     merged = merge_logs(format_event(event) for event in events)
     assert [line.event for line in merged] == ["sent", "received", "answered"], merged
 
@@ -131,7 +131,7 @@
 @when("events with a time and a gauge are published")
 def publish(context: Context) -> None:
     bus = EventBus(ProcessId("a.entry"), HybridClock(lambda: 1000.0))
-    bus.send_metrics(Address("127.0.0.1", context.receiver.getsockname()[1]))
+    bus.enable_metrics(Address("127.0.0.1", context.receiver.getsockname()[1]))
     bus.emit("try_ended", tier="urgent", total_ms=12)
     bus.emit("queue_gauges", tier="desk", waiting_gauge=3)
 
--- a/troutstand/tests/steps/follower.py
+++ b/troutstand/tests/steps/follower.py
@@ -109,6 +109,6 @@
 
 @then("it has logged once that the configuration is unreadable, and why")
 def check_unreadable(context: Context) -> None:
-    found = [e for e in context.events.kept if e.name == "configuration_unreadable"]
+    found = [e for e in context.events.recent if e.name == "configuration_unreadable"]
     assert len(found) == 1, found
     assert "truncated" in str(found[0].fields["detail"]), found
--- a/troutstand/tests/steps/links.py
+++ b/troutstand/tests/steps/links.py
@@ -76,7 +76,7 @@
 
 @then('its log holds "{name}" once')
 def check_once(context: Context, name: str) -> None:
-    found = [event for event in context.events.kept if event.name == name]
+    found = [event for event in context.events.recent if event.name == name]
     assert len(found) == 1, found
 
 
--- a/troutstand/tests/steps/scheduler.py
+++ b/troutstand/tests/steps/scheduler.py
@@ -10,7 +10,7 @@
 
 from troutstand.core.prefix import hash_prefixes
 from troutstand.core.scheduler import Scheduler
-from troutstand.core.table import Row, Table, name_row
+from troutstand.core.table import Row, Table, get_row_id
 from troutstand.generated.messages import Finished, Grant, PlacementAsk, Preempt, Shed
 from troutstand.generated.table import (
     Model,
@@ -50,7 +50,7 @@
     def set_rows(self, rows: list[Row]) -> None:
         """Put rows into force."""
         for row in rows:
-            self.table.rows[name_row(row)] = row
+            self.table.rows[get_row_id(row)] = row
         self.scheduler.update_table(self.table)
 
     def submit(self, request: str, rank: int, workspace: str = "w", **fields: object) -> None:
@@ -326,7 +326,7 @@
     driver = context.driver
     driver.submit("first", 0)
     row = driver.table.select(Target)[driver.granted["first"]]
-    del driver.table.rows[name_row(row)]
+    del driver.table.rows[get_row_id(row)]
     driver.scheduler.update_table(driver.table)
 
 
--- a/troutstand/tests/steps/succession.py
+++ b/troutstand/tests/steps/succession.py
@@ -8,7 +8,7 @@
 from behave import given, then, when
 
 from troutstand.core import succession
-from troutstand.core.contacts import ContactBook
+from troutstand.core.contacts import ContactRegistry
 from troutstand.core.errors import TroutstandError
 from troutstand.core.succession import count_needed, form_first_set, plan_change
 from troutstand.generated.messages import (
@@ -43,7 +43,7 @@
 
 
 def _hear(context: Context, process: str, disk_id: str = _FIRST_DISK, age_s: float = 0.0) -> None:
-    context.book.hear(make_contact(process, disk_id, age_s), context.now_s)
+    context.contacts.update(make_contact(process, disk_id, age_s), context.now_s)
 
 
 @given("a set of keepers a, b and c for the loss of {losses:d} disks")
@@ -52,7 +52,7 @@
     context.size = 2 * losses + 1
     context.now_s = _NOW_S
     context.watching_since_s = 0.0
-    context.book = ContactBook()
+    context.contacts = ContactRegistry()
 
 
 @given("a set of {size:d} keepers")
@@ -110,7 +110,12 @@
 
 def _plan(context: Context) -> None:
     context.following = plan_change(
-        context.keepers, _OWN, context.book, context.now_s, context.watching_since_s, context.size
+        context.keepers,
+        _OWN,
+        context.contacts,
+        context.now_s,
+        context.watching_since_s,
+        context.size,
     )
 
 
@@ -161,10 +166,10 @@
 
 @given("a contact heard {age_s:d} s ago")
 def hear_old(context: Context, age_s: int) -> None:
-    context.book = ContactBook()
+    context.contacts = ContactRegistry()
     context.now_s = _NOW_S
     context.contact_s = _NOW_S - age_s
-    context.book.hear(make_contact("a", _FIRST_DISK, age_s), context.now_s)
+    context.contacts.update(make_contact("a", _FIRST_DISK, age_s), context.now_s)
 
 
 @when("the same word is passed on with its age for {length_s:d} s")
@@ -172,13 +177,13 @@
     for _ in range(length_s):
         context.now_s += 1
         age_s = context.now_s - context.contact_s
-        context.book.hear(make_contact("a", _FIRST_DISK, age_s), context.now_s)
-        context.book.forget(context.now_s)
+        context.contacts.update(make_contact("a", _FIRST_DISK, age_s), context.now_s)
+        context.contacts.expire(context.now_s)
 
 
 @then("the contact is forgotten")
 def check_forgotten(context: Context) -> None:
-    assert context.book.find("a") is None
+    assert context.contacts.find("a") is None
 
 
 # The first set
--- a/troutstand/util/clock.py
+++ b/troutstand/util/clock.py
@@ -20,7 +20,7 @@
 
 # Two reads of the two clocks lie this much apart at most, in seconds, on a machine that is
 # awake (the process may be held up between them).
-LEAST_SUSPEND_S = 0.05
+MIN_SUSPEND_S = 0.05
 _WATCH_S = 0.1
 
 
@@ -29,7 +29,7 @@
     return time.clock_gettime(_SOURCE)
 
 
-def read_awake_s() -> float:
+def read_monotonic_s() -> float:
     """Return seconds that stand still while the host is suspended."""
     return time.monotonic()
 
@@ -41,13 +41,13 @@
         self._apart_s = self._measure()
 
     def _measure(self) -> float:
-        return read_clock_s() - read_awake_s()
+        return read_clock_s() - read_monotonic_s()
 
     def peek_suspended_s(self) -> float:
         """Return the same, and go on counting from the call before."""
         return max(0.0, self._measure() - self._apart_s)
 
-    def take_suspended_s(self) -> float:
+    def pop_suspended_s(self) -> float:
         """Return for how many seconds the host was suspended since the last call."""
         before_s, self._apart_s = self._apart_s, self._measure()
         return max(0.0, self._apart_s - before_s)
@@ -58,8 +58,8 @@
     watch = SuspendWatch()
     while True:
         await asyncio.sleep(_WATCH_S)
-        suspended_s = watch.take_suspended_s()
-        if suspended_s > LEAST_SUSPEND_S:
+        suspended_s = watch.pop_suspended_s()
+        if suspended_s > MIN_SUSPEND_S:
             note(suspended_s)
 
 
--- a/troutstand/util/events.py
+++ b/troutstand/util/events.py
@@ -16,7 +16,7 @@
 from reactivex.subject import Subject
 
 from troutstand.core.codes import ResultCode
-from troutstand.util.lines import LineWriter
+from troutstand.util.linewriter import LineWriter
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -28,7 +28,7 @@
 Field = str | int | float | bool | None
 
 # Events that `troutstandctl explain` can look back on.
-KEPT_EVENTS = 20_000
+MAX_RECENT_EVENTS = 20_000
 _STANDARD_OUTPUT = 1
 _PLAIN = re.compile(r"^[^\s\"=]+$")
 METRIC_PREFIX = "troutstand"
@@ -102,10 +102,10 @@
     def __init__(self, process: ProcessId, clock: HybridClock) -> None:
         self.process = process
         self.clock = clock
-        self.kept: deque[Event] = deque(maxlen=KEPT_EVENTS)
+        self.recent: deque[Event] = deque(maxlen=MAX_RECENT_EVENTS)
         self._lines: list[str] = []
         self._subject: Subject[Event] = Subject()
-        self._subject.subscribe(self.kept.append)
+        self._subject.subscribe(self.recent.append)
 
     def emit(
         self, name: str, request: str = "", code: ResultCode = ResultCode.OK, **fields: Field
@@ -118,7 +118,7 @@
         """Hand every event to a reader."""
         self._subject.subscribe(reader)
 
-    def write_log(self) -> None:
+    def enable_log(self) -> None:
         """Write every event as a log line."""
         self._subject.subscribe(self._keep_line)
 
@@ -138,16 +138,16 @@
         lines, self._lines = self._lines, []
         logging.info("%s", "\n".join(lines))
 
-    def send_metrics(self, address: Address) -> None:
+    def enable_metrics(self, address: Address) -> None:
         """Count events, and time those that carry `*_ms`, by statsd."""
         client = statsd.StatsClient(address.ip, address.port, prefix=METRIC_PREFIX)
         self._subject.pipe(ops.do_action(lambda event: client.incr(_name_metric(event)))).subscribe(
             lambda event: _send_timings(client, event)
         )
 
-    def find(self, request: str) -> list[Event]:
+    def find_request(self, request: str) -> list[Event]:
         """Return the kept events of one request."""
-        return [event for event in self.kept if event.request == request]
+        return [event for event in self.recent if event.request == request]
 
 
 def _name_metric(event: Event) -> str:
--- a/troutstand/util/lines.py
+++ b/troutstand/util/linewriter.py
@@ -6,7 +6,7 @@
 import logging
 import os
 
-LIMIT_BYTES = 1 << 20
+MAX_BUFFER_BYTES = 1 << 20
 
 
 class LineWriter(logging.Handler):
@@ -20,7 +20,7 @@
         How much may wait in memory.
     """
 
-    def __init__(self, descriptor: int, limit_bytes: int = LIMIT_BYTES) -> None:
+    def __init__(self, descriptor: int, limit_bytes: int = MAX_BUFFER_BYTES) -> None:
         super().__init__()
         self.dropped = 0
         self._descriptor = descriptor
--- a/troutstand/util/listening.py
+++ b/troutstand/util/listening.py
@@ -18,18 +18,18 @@
 
 
 @dataclass(frozen=True)
-class Waits:
+class ServerTimeouts:
     """Say how long idle connections are kept, and answers waited for at the end, in seconds."""
 
     keep_alive_s: float = 75.0
     shutdown_s: float = 0.3
 
 
-_WAITS = Waits()
+_WAITS = ServerTimeouts()
 
 
 async def listen(
-    application: web.Application, address: Address, field: str, waits: Waits = _WAITS
+    application: web.Application, address: Address, field: str, waits: ServerTimeouts = _WAITS
 ) -> web.AppRunner:
     """Serve an application at an address.
 
@@ -56,24 +56,24 @@
     return runner
 
 
-def has_begun(request: web.BaseRequest) -> bool:
+def has_response_started(request: web.BaseRequest) -> bool:
     """Tell whether a part of a request's answer was written to the caller."""
     return request.writer.output_size > 0
 
 
-def break_off(request: web.BaseRequest) -> None:
+def abort_response(request: web.BaseRequest) -> None:
     """Close the connection of an answer that has begun, without the answer's end."""
     if request.transport is not None:
         request.transport.close()
 
 
-async def write_whole_answer(request: web.BaseRequest, response: web.StreamResponse) -> bool:
+async def write_full_response(request: web.BaseRequest, response: web.StreamResponse) -> bool:
     """Write a whole answer; where another has begun, break that off and return False.
 
     A head amid a body that has begun is read as a part of that body.
     """
-    if has_begun(request):
-        break_off(request)
+    if has_response_started(request):
+        abort_response(request)
         return False
     await response.prepare(request)
     await response.write_eof()
--- a/troutstand/util/noticelog.py
+++ b/troutstand/util/noticelog.py
@@ -9,7 +9,7 @@
     from troutstand.util.events import EventBus
 
 
-def emit_heard(events: EventBus, request: str, notice: TargetNotice) -> None:
+def emit_notice_received(events: EventBus, request: str, notice: TargetNotice) -> None:
     """Log what the answer to a request said of its target, where it is news."""
     events.emit(
         "target_notice_heard",
@@ -21,7 +21,7 @@
     )
 
 
-def emit_taken(events: EventBus, peer: str, notice: TargetNotice) -> None:
+def emit_notice_accepted(events: EventBus, peer: str, notice: TargetNotice) -> None:
     """Log what a decider was told of a target by a process, where it is news."""
     events.emit(
         "target_notice_taken",
--- a/troutstand/util/reloadsignal.py
+++ b/troutstand/util/reloadsignal.py
@@ -19,7 +19,7 @@
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 
-def follow_reload(loop: asyncio.AbstractEventLoop, reload: Callable[[], None]) -> None:
+def install_reload_handler(loop: asyncio.AbstractEventLoop, reload: Callable[[], None]) -> None:
     """Call a function in the loop's next step at each signal.
 
     The loop's own handlers are not used for it: as they are removed, the signal would end
