--- a/troutstand/core/scheduling/__init__.py
+++ b/troutstand/core/scheduling/__init__.py
@@ -1,1 +1,1 @@
-"""Decide in which order requests are placed and refused when room is short."""
+"""Decide in which order requests are placed and shed under overload."""
--- a/troutstand/core/scheduling/options.py
+++ b/troutstand/core/scheduling/options.py
@@ -1,4 +1,4 @@
-"""Say which decisions under load are switched on."""
+"""Options of load shedding and fair sharing."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 
 @dataclass(frozen=True)
 class LoadOptions:
-    """Switch decisions under load on, as the settings of a site say.
+    """Select the overload policies of a site.
 
     Parameters
     ----------
     protects_tiers
-        Whether slots are kept free for the tiers above, and a request of a higher tier
-        waits rather than being refused while lower ones run.
+        Whether slots are reserved for higher tiers, and a request waits rather than being
+        shed while requests of a lower tier run.
     shares_fairly
-        Whether workspaces of one tier share a service's slots by weight.
+        Whether the workspaces of a tier share the slots of a service by weight.
     """
 
     protects_tiers: bool = False
--- a/troutstand/core/scheduling/placementestimate.py
+++ b/troutstand/core/scheduling/placementestimate.py
@@ -1,4 +1,4 @@
-"""Tell what is expected to come of a placement, and of waiting for another."""
+"""Estimates of the latency and risk of placing a request or waiting for another target."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 if TYPE_CHECKING:
     from troutstand.core.speed import ReadingSpeed
 
-# Up to this share of a limit an expected time keeps it, and from this share on it
-# misses it; first bytes take 0.5 to 2 times what is expected (10 and 90 in 100).
-_SAFE_SHARE = 0.6
-_LOST_SHARE = 1.4
+# The risk of missing a limit rises linearly from 0 to 1 between these ratios of the expected
+# time to the limit.
+_NO_RISK_RATIO = 0.6
+_FULL_RISK_RATIO = 1.4
 
 
 @dataclass(frozen=True)
 class BusyTargets:
-    """Tell what waiting for a busy target would bring; times in seconds."""
+    """Summarize the targets without a free slot; times in seconds."""
 
     count: int
     slot_interval_s: float
@@ -26,20 +26,20 @@
 
 @dataclass(slots=True)
 class PlacementEstimate:
-    """Tell what is expected to come of a placement; times in seconds.
+    """Estimate the effects of placing a request at a target; times in seconds.
 
     Parameters
     ----------
     first_s
-        Until the first byte.
-    held_s
-        How long the slot is held behind it.
-    first_risk
-        The chance that the first byte is late, 0 to 1.
-    rest_risk
-        The chance that the stream pauses for too long or is cut by its deadline.
+        Time to first byte.
+    occupancy_s
+        Time that the slot stays occupied after the first byte.
+    first_byte_risk
+        Probability that the first byte is late, 0 to 1.
+    stream_risk
+        Probability that the stream exceeds its pause limit or its deadline, 0 to 1.
     others_risk
-        Streams at the target that the prompt would make pause for too long.
+        Expected number of other streams at the target that exceed their pause limit.
     """
 
     first_s: float
@@ -50,12 +50,12 @@
 
 
 def estimate_miss_risk(expected_s: float, limit_s: float) -> float:
-    """Return the chance that a limit is missed, from an expected time; 0 is no limit."""
+    """Return the probability that a limit is missed, 0 to 1; a limit of 0 is no limit."""
     if limit_s == 0.0:
         return 0.0
     if limit_s < 0.0:
         return 1.0
-    share = expected_s / limit_s
-    if share <= _SAFE_SHARE:
+    ratio = expected_s / limit_s
+    if ratio <= _NO_RISK_RATIO:
         return 0.0
-    return min(1.0, (share - _SAFE_SHARE) / (_LOST_SHARE - _SAFE_SHARE))
+    return min(1.0, (ratio - _NO_RISK_RATIO) / (_FULL_RISK_RATIO - _NO_RISK_RATIO))
--- a/troutstand/core/scheduling/shares.py
+++ b/troutstand/core/scheduling/shares.py
@@ -1,10 +1,8 @@
-"""Share service between workspaces by weighted virtual time.
+"""Share service between workspaces with start-time fair queueing.
 
-Start-time fair queueing (Goyal, Vin and Cheng, 1996): each request gets a start tag, and
-the least tag goes first. A workspace that asks for less than its share has tags near the
-virtual time, and one that floods has tags far ahead of it. A workspace that comes back from
-idleness starts at the virtual time, without credit for having been away. Nothing is held
-back while room is free.
+Goyal, Vin and Cheng, 1996: each request gets a start tag, and the request with the smallest
+tag is served first. An idle workspace resumes at the virtual time and earns no credit. The
+algorithm is work-conserving.
 """
 
 from __future__ import annotations
@@ -14,39 +12,45 @@
 
 @dataclass
 class Shares:
-    """Follow what each workspace was given, in seconds of service for a weight of 1."""
+    """Track the finish tag of each workspace, in seconds of service at a weight of 1."""
 
     virtual_time_s: float = 0.0
-    _given_s: dict[str, float] = field(default_factory=dict)
+    _finish_tags_s: dict[str, float] = field(default_factory=dict)
 
     def advance_idle(self, workspace: str) -> None:
-        """Bring a workspace that was idle up to the virtual time."""
-        self._given_s[workspace] = max(self._given_s.get(workspace, 0.0), self.virtual_time_s)
+        """Raise the finish tag of an idle workspace to the virtual time."""
+        self._finish_tags_s[workspace] = max(
+            self._finish_tags_s.get(workspace, 0.0), self.virtual_time_s
+        )
 
     def get_start_tag(self, workspace: str) -> float:
-        """Return the start tag of a workspace's next request."""
-        return self._given_s.get(workspace, self.virtual_time_s)
+        """Return the start tag of the next request of a workspace."""
+        return self._finish_tags_s.get(workspace, self.virtual_time_s)
 
     def charge(self, workspace: str, amount_s: float) -> float:
-        """Charge service that is divided by the weight already; return its start tag."""
+        """Charge service, already divided by the weight, and return its start tag."""
         start_s = self.get_start_tag(workspace)
-        self._given_s[workspace] = start_s + amount_s
+        self._finish_tags_s[workspace] = start_s + amount_s
         return start_s
 
     def refund(self, workspace: str, amount_s: float) -> None:
-        """Take back a charge, or a part of it, for service that was not given."""
-        self._given_s[workspace] = self.get_start_tag(workspace) - amount_s
+        """Refund all or part of a charge for service that was not used."""
+        self._finish_tags_s[workspace] = self.get_start_tag(workspace) - amount_s
 
     def advance_virtual_time(self, start_s: float) -> None:
-        """Move the virtual time on to the start tag of a request that gets its slot."""
+        """Advance the virtual time to the start tag of a request that starts service."""
         self.virtual_time_s = max(self.virtual_time_s, start_s)
 
     def list_leads(self) -> dict[str, float]:
-        """Return the workspaces that are ahead of the virtual time, and by how many seconds."""
-        passed_s = self.virtual_time_s
-        return {name: s - passed_s for name, s in self._given_s.items() if s > passed_s}
+        """Return the lead over the virtual time, in seconds, of each workspace that has one."""
+        now_s = self.virtual_time_s
+        return {name: tag_s - now_s for name, tag_s in self._finish_tags_s.items() if tag_s > now_s}
 
     def drop_idle(self) -> None:
-        """Drop the workspaces that would be lifted by their next request anyway."""
-        ahead = {name: s for name, s in self._given_s.items() if s > self.virtual_time_s}
-        self._given_s = ahead
+        """Drop the workspaces that are not ahead of the virtual time."""
+        ahead = {
+            name: tag_s
+            for name, tag_s in self._finish_tags_s.items()
+            if tag_s > self.virtual_time_s
+        }
+        self._finish_tags_s = ahead
--- a/troutstand/core/scheduling/waitingqueue.py
+++ b/troutstand/core/scheduling/waitingqueue.py
@@ -1,7 +1,6 @@
-"""Keep the requests that wait for a target of one service, in their order.
+"""Queue the requests that wait for a target of one service.
 
-Answers long queues: sorted anew at each event, a queue of 400 took two thirds of a
-decider's time in bursts.
+Keeps the placement and the shedding order sorted, so that an event does not sort a long queue.
 """
 
 from __future__ import annotations
@@ -18,57 +17,56 @@
 
     from troutstand.generated.messages import RoutedWork
 
-# Tier, whether it is late, its share, until when it is due.
+# Tier, lateness, start tag and due time.
 Rank = tuple[int, bool, float, float]
-# A rank, and what keeps those of one rank in the order in which they came.
-_Key = tuple[Rank, int]
+# A rank and the sequence number that breaks ties in order of arrival.
+_SortKey = tuple[Rank, int]
 
 
 def get_shed_tier(work: RoutedWork) -> int:
-    """Return the tier by which a request is refused."""
+    """Return the tier that applies when requests are shed."""
     return work.tier if work.shed_tier is None else work.shed_tier
 
 
 @dataclass
 class WaitingRequest:
-    """Hold a request that has no target yet; times in seconds."""
+    """Hold a request that waits for a target; times in seconds."""
 
     work: RoutedWork
     owner: str
     arrived_s: float
     deadline_s: float
     is_late: bool = False
-    # How long it may wait and still be in time, as estimated when it arrived.
+    # Time that the request may wait and still meet its objective, estimated on arrival.
     slack_s: float = 0.0
-    # The same, had it just come from its caller.
+    # Slack before the time spent prior to arrival is deducted.
     full_slack_s: float = 0.0
-    # The least that a target needs until its first byte, as estimated when it arrived.
+    # Shortest time to first byte of any target without other prompts, estimated on arrival.
     min_first_byte_s: float = 0.0
-    # Where its workspace's share puts it, and what it was charged; 0 without fair sharing.
     share: ShareTag = UNSHARED
 
-    # What orders the queue: the tier, who can be in time, whose share it is, who is due first.
+    # Placement order.
     rank: Rank = field(init=False)
-    # What decides who is refused: the same, by another tier where the two differ.
+    # Shedding order: as the placement order, but by shed tier.
     shed_rank: Rank = field(init=False)
 
     def __post_init__(self) -> None:
-        self._rank()
+        self._update_ranks()
 
-    def _rank(self) -> None:
+    def _update_ranks(self) -> None:
         work = self.work
-        place = (self.is_late, self.share.start_s, self.due_s)
-        self.rank = (work.tier, *place)
-        self.shed_rank = (get_shed_tier(work), *place)
+        key = (self.is_late, self.share.start_s, self.due_s)
+        self.rank = (work.tier, *key)
+        self.shed_rank = (get_shed_tier(work), *key)
 
     @property
     def due_s(self) -> float:
-        """Return until when the first byte is in time."""
+        """Return the time by which the first byte meets the objective."""
         return self.arrived_s + self.work.objective_s - self.work.spent_s
 
     @property
     def first_byte_deadline_s(self) -> float:
-        """Return until when the first byte must come: later its caller has left."""
+        """Return the time after which the caller no longer waits for the first byte."""
         silence_s = self.work.silence_s
         if not silence_s:
             return self.deadline_s
@@ -76,29 +74,29 @@
 
     @property
     def arrived_late(self) -> bool:
-        """Tell whether it could not be in time any more when it came."""
+        """Tell whether the request could no longer meet its objective on arrival."""
         return not self.can_meet_objective(self.arrived_s)
 
     def can_meet_objective(self, now_s: float) -> bool:
-        """Tell whether a target that got the request now could still be in time."""
+        """Tell whether the request could meet its objective if it were placed now."""
         return now_s + self.min_first_byte_s <= self.due_s
 
     def mark_late(self) -> None:
-        """Take the rank of those that cannot be in time; a queue that holds it must know."""
+        """Rank the request behind on-time ones; use the queue's method for queued requests."""
         self.is_late = True
-        self._rank()
+        self._update_ranks()
 
 
 class WaitingQueue:
-    """Hold those that wait by request, in the order of placements and of refusals."""
+    """Index waiting requests by id, by placement order and by shedding order."""
 
     def __init__(self) -> None:
         self._waiting: dict[str, WaitingRequest] = {}
-        self._numbers = count()
-        self._numbered: dict[str, int] = {}
+        self._sequence = count()
+        self._numbers: dict[str, int] = {}
         self._by_number: dict[int, WaitingRequest] = {}
-        self._placed: list[_Key] = []
-        self._shed: list[_Key] = []
+        self._placement_keys: list[_SortKey] = []
+        self._shed_keys: list[_SortKey] = []
 
     def __len__(self) -> int:
         return len(self._waiting)
@@ -110,66 +108,68 @@
         return iter(self._waiting)
 
     def list_all(self) -> list[WaitingRequest]:
-        """Return all that wait, in the order in which they came."""
+        """Return all waiting requests in order of arrival."""
         return list(self._waiting.values())
 
     def add(self, waiting: WaitingRequest) -> None:
-        """Take a request in."""
+        """Add a request, replacing an earlier one with the same id."""
         request = waiting.work.request
         self.pop(request)
-        number = next(self._numbers)
+        number = next(self._sequence)
         self._waiting[request] = waiting
-        self._numbered[request] = number
+        self._numbers[request] = number
         self._by_number[number] = waiting
-        insort(self._placed, (waiting.rank, number))
-        insort(self._shed, (waiting.shed_rank, number))
+        insort(self._placement_keys, (waiting.rank, number))
+        insort(self._shed_keys, (waiting.shed_rank, number))
 
     def pop(self, request: str) -> WaitingRequest | None:
-        """Take a request out and return it; None where it does not wait."""
+        """Remove and return a request; return None if it is not queued."""
         waiting = self._waiting.pop(request, None)
         if waiting is None:
             return None
-        number = self._numbered.pop(request)
+        number = self._numbers.pop(request)
         del self._by_number[number]
-        _remove(self._placed, (waiting.rank, number))
-        _remove(self._shed, (waiting.shed_rank, number))
+        _remove(self._placement_keys, (waiting.rank, number))
+        _remove(self._shed_keys, (waiting.shed_rank, number))
         return waiting
 
     def mark_late(self, waiting: WaitingRequest) -> None:
-        """Put a request behind those of its tier that can be in time."""
-        number = self._numbered[waiting.work.request]
-        _remove(self._placed, (waiting.rank, number))
-        _remove(self._shed, (waiting.shed_rank, number))
+        """Move a request behind those of its tier that can meet their objective."""
+        number = self._numbers[waiting.work.request]
+        _remove(self._placement_keys, (waiting.rank, number))
+        _remove(self._shed_keys, (waiting.shed_rank, number))
         waiting.mark_late()
-        insort(self._placed, (waiting.rank, number))
-        insort(self._shed, (waiting.shed_rank, number))
+        insort(self._placement_keys, (waiting.rank, number))
+        insort(self._shed_keys, (waiting.shed_rank, number))
 
-    def list_placement_order(self, first: int = 0, most: int | None = None) -> list[WaitingRequest]:
-        """Return those that wait in the order of placements, or some of them."""
-        end = None if most is None else first + most
-        return [self._by_number[number] for _, number in self._placed[first:end]]
+    def list_placement_order(
+        self, first: int = 0, limit: int | None = None
+    ) -> list[WaitingRequest]:
+        """Return the waiting requests, or a slice of them, in placement order."""
+        end = None if limit is None else first + limit
+        return [self._by_number[number] for _, number in self._placement_keys[first:end]]
 
     def list_shed_order(self) -> list[WaitingRequest]:
-        """Return those that wait, who is refused last first."""
-        return [self._by_number[number] for _, number in self._shed]
+        """Return the waiting requests in shedding order; the last is shed first."""
+        return [self._by_number[number] for _, number in self._shed_keys]
 
     def count_placed_before(self, waiting: WaitingRequest) -> int:
-        """Return how many others are placed before a request that waits."""
-        return _count(self._placed, waiting.rank) - 1
+        """Return how many other requests rank no later than a queued one for placement."""
+        return _count(self._placement_keys, waiting.rank) - 1
 
     def count_shed_after(self, waiting: WaitingRequest) -> int:
-        """Return how many others are refused after a request that waits."""
-        return _count(self._shed, waiting.shed_rank) - 1
+        """Return how many other requests are shed no earlier than a queued one."""
+        return _count(self._shed_keys, waiting.shed_rank) - 1
 
 
-def _remove(keys: list[_Key], key: _Key) -> None:
+def _remove(keys: list[_SortKey], key: _SortKey) -> None:
     del keys[bisect_left(keys, key)]
 
 
-def _count(keys: list[_Key], rank: Rank) -> int:
-    """Return how many keys have at most a rank."""
+def _count(keys: list[_SortKey], rank: Rank) -> int:
+    """Return the number of keys whose rank is at most the given one."""
     return bisect_right(keys, rank, key=_get_rank)
 
 
-def _get_rank(key: _Key) -> Rank:
+def _get_rank(key: _SortKey) -> Rank:
     return key[0]
