--- a/troutstand/core/fairqueue.py
+++ b/troutstand/core/fairqueue.py
@@ -1,7 +1,4 @@
-"""Keep waiting requests by tier and share each tier fairly between workspaces.
-
-Within a tier, workspaces take turns by weighted virtual time.
-"""
+"""Queue the waiting requests of a tier and share it fairly between workspaces."""
 
 from __future__ import annotations
 
@@ -21,7 +18,7 @@
 
 @dataclass
 class WaitingRequest:
-    """Keep a request that waits for its target."""
+    """Hold a request that waits for a target."""
 
     ask: PlacementAsk
     process: str
@@ -39,7 +36,7 @@
 
 @dataclass
 class FairQueue:
-    """Queue the requests of one tier for one model or service."""
+    """Queue the requests of one tier for one model or service by weighted fair queueing."""
 
     expected_s: float = 0.0
     _queues: dict[str, deque[WaitingRequest]] = field(default_factory=dict)
@@ -54,7 +51,7 @@
             yield from queue
 
     def push(self, waiting: WaitingRequest) -> None:
-        """Add a request behind its workspace's earlier ones."""
+        """Append a request to the queue of its workspace."""
         name = waiting.ask.workspace
         queue = self._queues.setdefault(name, deque())
         if not queue:
@@ -64,16 +61,16 @@
         self.expected_s += waiting.expected_s
 
     def order_workspaces(self) -> list[str]:
-        """Return the waiting workspaces, the one furthest behind its share first."""
+        """Return the workspaces with waiting requests, the smallest start tag first."""
         return sorted(self._queues, key=self._shares.get_start_tag)
 
     def peek(self, workspace: str, limit: int) -> list[WaitingRequest]:
-        """Return a workspace's oldest requests."""
+        """Return the oldest requests of a workspace, at most limit."""
         queue = self._queues[workspace]
         return [queue[index] for index in range(min(limit, len(queue)))]
 
     def remove(self, waiting: WaitingRequest) -> None:
-        """Take a request out."""
+        """Remove a request."""
         name = waiting.ask.workspace
         queue = self._queues[name]
         if queue[0] is waiting:
@@ -86,6 +83,6 @@
         self.expected_s = max(0.0, self.expected_s - waiting.expected_s) if self._count else 0.0
 
     def charge(self, waiting: WaitingRequest, weight: float) -> None:
-        """Count a granted request against its workspace's share."""
+        """Charge the expected run time of a granted request to its workspace."""
         start_s = self._shares.charge(waiting.ask.workspace, waiting.expected_s / weight)
         self._shares.advance_virtual_time(start_s)
--- a/troutstand/core/scheduler.py
+++ b/troutstand/core/scheduler.py
@@ -1,8 +1,8 @@
-"""Decide for one failure domain which target takes each request, when, or never.
+"""Schedule the requests of one failure domain.
 
-The scheduler is a state machine: events and the time go in, messages for the
-entry processes come out. It holds the domain's only queue, so that a request
-is shed only when no lower tier waits or runs on the targets it could use.
+The scheduler is a state machine without I/O: it takes events with their time and returns the
+messages to send to the entry processes. It holds the only queue of the domain, so a request is
+shed only when no lower tier waits or runs on the targets that it could use.
 """
 
 from __future__ import annotations
@@ -35,28 +35,26 @@
     from troutstand.generated.messages import TargetNotice, TargetNotices
     from troutstand.generated.table import Tier
 
-_MILLISECONDS = 1000
-# Requests of one workspace that are tried for a free target before the next
-# workspace has its turn.
-SCAN_REQUESTS = 4
-# A target may have this much prefill before it when it is granted another.
+_MS_PER_S = 1000
+# Requests of one workspace that are tried before the next workspace.
+MAX_SCANNED_REQUESTS = 4
+# Prefill backlog up to which a target is granted another request.
 MAX_BACKLOG_S = 0.02
-# After a new scheduler starts, it waits this long for the entry processes'
-# reports of what runs before it grants.
+# Delay of the first grant after a start, for the entry processes to report what runs.
 REPORT_WAIT_S = 0.3
 
 
 class Scheduler(SheddingQueue):
-    """Hold the queue and the targets of one failure domain.
+    """Schedule the requests of one failure domain.
 
     Parameters
     ----------
     failure_domain
-        Whose targets are granted.
+        Failure domain whose targets are granted.
     waiting_limit
-        Requests that may wait at once.
+        Maximum number of waiting requests.
     seed
-        Spreads the times at which refused callers come back.
+        Seed of the jitter on retry delays and of the policy.
     """
 
     def __init__(
@@ -72,47 +70,47 @@
         self._waiting_limit = waiting_limit
         self._policy = Policy(policy, seed)
         self._grants_from_s = started_s + REPORT_WAIT_S
-        self._news: list[TargetNotice] = []
+        self._new_notices: list[TargetNotice] = []
 
     # Events
 
     def submit(self, process: str, ask: PlacementAsk, now_s: float) -> list[Send]:
-        """Take a request: grant, queue or shed it."""
+        """Grant, queue or shed a request."""
         tier = self._tiers.get(ask.tier)
         if tier is None or RequestId(ask.request) in self._waiting:
             return []
         prefixes = Prefixes(ask.blocks, ask.block_tokens)
-        waiting = self._make_waiting(process, ask, tier, prefixes, now_s)
-        refusal = self._check_admission(waiting, now_s)
-        if refusal:
-            return [refusal]
+        waiting = self._make_waiting_request(process, ask, tier, prefixes, now_s)
+        shed = self._check_admission(waiting, now_s)
+        if shed:
+            return [shed]
         self._enqueue(waiting)
-        sends = self._make_room(waiting, now_s)
+        sends = self._shed_if_overloaded(waiting, now_s)
         return sends + self._place(now_s)
 
     def withdraw(self, withdraw: Withdraw, now_s: float) -> list[Send]:
-        """Forget a waiting request whose caller has gone."""
+        """Remove a waiting request whose caller disconnected."""
         waiting = self._waiting.get(RequestId(withdraw.request))
         if waiting:
             self._dequeue(waiting)
         return self._place(now_s)
 
     def finish(self, finished: Finished, now_s: float) -> list[Send]:
-        """Take the end of a granted request."""
+        """Release the slot of a granted request that ended."""
         target = self.targets.get(finished.target)
         run = target.finish(finished, now_s) if target else None
         if run:
             self._note_run(run, -1)
-        sends = self._note_crash(finished, now_s)
+        sends = self._record_crash(finished, now_s)
         return sends + self._place(now_s)
 
-    def _note_crash(self, finished: Finished, now_s: float) -> list[Send]:
-        """Learn whether a target ended under a request; shed those alike that wait."""
+    def _record_crash(self, finished: Finished, now_s: float) -> list[Send]:
+        """Record whether the target crashed; shed waiting requests that are now quarantined."""
         fingerprint, target = finished.fingerprint, finished.target
         if finished.ok and fingerprint:
             self.crashes.note_survived(fingerprint)
         if finished.is_broken_off and fingerprint:
-            run_s = finished.total_ms / _MILLISECONDS
+            run_s = finished.total_ms / _MS_PER_S
             self.crashes.note_broken(fingerprint, target, run_s, now_s)
         if not finished.is_target_gone:
             return []
@@ -127,7 +125,7 @@
         return [self._quarantine(waiting, now_s) for waiting in refused]
 
     def apply_report(self, report: RunningReport, now_s: float) -> list[Send]:
-        """Take over what an entry process runs by an earlier scheduler's grants."""
+        """Adopt the requests that an entry process runs on grants of an earlier scheduler."""
         for item in report.running:
             target = self.targets.get(item.target)
             if target is None or RequestId(item.ask.request) in target.running:
@@ -138,26 +136,26 @@
             target.start(RequestId(item.ask.request), run, _get_prefixes(item.ask))
             self._note_run(run, 1)
         self.crashes.inherit(report.crashes, now_s)
-        return self._take_notices(report.notices, now_s)
+        return self._apply_notices(report.notices, now_s)
 
     def apply_notices(self, notices: TargetNotices, now_s: float) -> list[Send]:
-        """Take what targets said of themselves to an entry process."""
-        return self._take_notices(notices.notices, now_s)
+        """Apply the notices that targets sent to an entry process."""
+        return self._apply_notices(notices.notices, now_s)
 
-    def _take_notices(self, notices: Iterable[TargetNotice], now_s: float) -> list[Send]:
+    def _apply_notices(self, notices: Iterable[TargetNotice], now_s: float) -> list[Send]:
         for notice in notices:
             target = self.targets.get(notice.target)
             if target is not None and target.take_notice(notice, now_s):
-                self._news.append(notice)
+                self._new_notices.append(notice)
         return self._place(now_s)
 
     def drain_new_notices(self) -> list[TargetNotice]:
-        """Return what targets said that is news since the last call, for the log."""
-        news, self._news = self._news, []
-        return news
+        """Return and clear the notices that changed something, for the log."""
+        notices, self._new_notices = self._new_notices, []
+        return notices
 
     def drop_process(self, process: str, now_s: float) -> list[Send]:
-        """Forget the requests of an entry process that died."""
+        """Remove the requests of an entry process that died."""
         for waiting in [w for w in self._waiting.values() if w.process == process]:
             self._dequeue(waiting)
         for target in self.targets.values():
@@ -167,29 +165,27 @@
         return self._place(now_s)
 
     def tick(self, now_s: float) -> list[Send]:
-        """Place what became placeable and shed what can no longer start in time."""
+        """Place waiting requests, and shed those that can no longer start in time."""
         for target in self.targets.values():
             target.recheck_leaving(now_s)
         sends = self._place(now_s)
         for waiting in sorted(self._waiting.values(), key=lambda item: item.rank):
-            is_pressed = now_s >= waiting.latest_start_s - PREEMPT_MARGIN_S
-            if is_pressed and waiting.request in self._waiting:
-                sends += self._press(waiting, now_s)
+            is_urgent = now_s >= waiting.latest_start_s - PREEMPT_MARGIN_S
+            if is_urgent and waiting.request in self._waiting:
+                sends += self._preempt_or_shed(waiting, now_s)
         return sends
 
     # Admission
 
-    def _make_waiting(
+    def _make_waiting_request(
         self, process: str, ask: PlacementAsk, tier: Tier, prefixes: Prefixes, now_s: float
     ) -> WaitingRequest:
-        expected_s = self._expect_run_s(ask)
-        patience_s = min(tier.first_token_s, tier.deadline_s - expected_s)
-        patience_s = min(max(patience_s, 0.0), ask.wait_ms / _MILLISECONDS)
-        return WaitingRequest(
-            ask, process, tier.rank, prefixes, now_s, now_s + patience_s, expected_s
-        )
+        expected_s = self._estimate_run_s(ask)
+        slack_s = min(tier.first_token_s, tier.deadline_s - expected_s)
+        slack_s = min(max(slack_s, 0.0), ask.wait_ms / _MS_PER_S)
+        return WaitingRequest(ask, process, tier.rank, prefixes, now_s, now_s + slack_s, expected_s)
 
-    def _expect_run_s(self, ask: PlacementAsk) -> float:
+    def _estimate_run_s(self, ask: PlacementAsk) -> float:
         pool = self._pools.get(ask.serves, [])
         if not pool:
             return 0.0
@@ -199,13 +195,15 @@
 
     def _check_admission(self, waiting: WaitingRequest, now_s: float) -> Send | None:
         ask = waiting.ask
-        if self._is_kept_back(ask, now_s):
+        if self._must_refuse_suspect(ask, now_s):
             return self._quarantine(waiting, now_s)
         if not self._has_usable(ask):
             return self._shed(waiting, ResultCode.NO_TARGET, MIN_RETRY_S, "no live target")
         rest_s = self._measure_rest(ask, now_s)
         if now_s + rest_s > waiting.latest_start_s:
-            return self._shed(waiting, ResultCode.TARGETS_RESTING, rest_s, "all targets rest")
+            return self._shed(
+                waiting, ResultCode.TARGETS_RESTING, rest_s, "all usable targets requested backoff"
+            )
         use = self._workspaces.get(ask.workspace)
         if use is None:
             return None
@@ -215,24 +213,24 @@
             return self._shed(waiting, ResultCode.WORKSPACE_LIMIT, retry_s, detail)
         return None
 
-    def _is_kept_back(self, ask: PlacementAsk, now_s: float) -> bool:
-        """Tell whether a request is refused for the targets that ended under others like it.
+    def _must_refuse_suspect(self, ask: PlacementAsk, now_s: float) -> bool:
+        """Tell whether a request must be refused because requests like it crashed targets.
 
-        Each time that it comes it would take as many targets with it as it has tries: 5 of 5
-        engines ended under 8 calls of one prompt, and 3 with this (`domaincrashes.feature`).
+        A suspect is isolated: a limited number of requests with its fingerprint are admitted
+        at once.
         """
         match self.crashes.judge(ask.fingerprint, now_s):
             case Blame.QUARANTINED:
                 return True
             case Blame.ON_TRIAL:
                 waiting = (item.ask.fingerprint for item in self._waiting.values())
-                alike = [*waiting, *self._list_running()].count(ask.fingerprint)
+                alike = [*waiting, *self._list_running_fingerprints()].count(ask.fingerprint)
                 return alike >= MAX_ALIKE
             case _:
                 return False
 
-    def _list_running(self) -> list[str]:
-        """Return the fingerprints of what runs."""
+    def _list_running_fingerprints(self) -> list[str]:
+        """Return the fingerprints of the running requests."""
         runs = (run for target in self.targets.values() for run in target.running.values())
         return [run.ask.fingerprint for run in runs]
 
@@ -247,8 +245,8 @@
         )
         return Send(waiting.process, shed)
 
-    def _make_room(self, waiting: WaitingRequest, now_s: float) -> list[Send]:
-        """Shed where the queue is full or the newcomer cannot start in time."""
+    def _shed_if_overloaded(self, waiting: WaitingRequest, now_s: float) -> list[Send]:
+        """Shed if the queue is full or the new request cannot start in time."""
         if len(self._waiting) > self._waiting_limit:
             return self._shed_lowest(waiting, ResultCode.QUEUE_FULL, now_s)
         wait_s = self._estimate_wait_s(waiting, now_s)
@@ -256,7 +254,7 @@
             return []
         return self._shed_lowest(waiting, ResultCode.SHED_DEADLINE, now_s)
 
-    # Placing
+    # Placement
 
     def _place(self, now_s: float) -> list[Send]:
         if now_s < self._grants_from_s or not self._waiting:
@@ -282,7 +280,7 @@
             use = self._workspaces.get(workspace)
             if use and use.is_full():
                 continue
-            for waiting in queue.peek(workspace, SCAN_REQUESTS):
+            for waiting in queue.peek(workspace, MAX_SCANNED_REQUESTS):
                 choice = self._choose(waiting, now_s)
                 if choice:
                     weight = use.row.weight if use else 1.0
@@ -290,23 +288,28 @@
         return None
 
     def _choose(self, waiting: WaitingRequest, now_s: float) -> Choice | None:
-        """Choose among the targets with a free slot; None while the best still prefills.
+        """Choose a target with a free slot; return None while the best one is prefilling.
 
-        A target is given one prefill at a time, so that what waits for it waits
-        here, where the next higher tier still comes first.
+        A target gets one prefill at a time, so that further requests wait in this queue, where
+        a higher tier can still overtake them.
         """
         free = [t for t in self._list_usable(waiting.ask) if t.count_free(now_s) > 0]
         if self.crashes.judge(waiting.ask.fingerprint, now_s) is Blame.ON_TRIAL:
-            free = self._list_trial(waiting.ask, free)
+            free = self._list_isolation_targets(waiting.ask, free)
         if not free:
             return None
         choice = self._policy.choose(free, waiting.ask, waiting.prefixes, now_s)
         backlog_s = choice.target.estimate_prefill_s(0, now_s)
         return choice if backlog_s <= MAX_BACKLOG_S else None
 
-    def _list_trial(self, ask: PlacementAsk, free: list[TargetEstimate]) -> list[TargetEstimate]:
-        """Return the targets whose end would tell of a request on trial, one at a time."""
-        if ask.fingerprint in self._list_running():
+    def _list_isolation_targets(
+        self, ask: PlacementAsk, free: list[TargetEstimate]
+    ) -> list[TargetEstimate]:
+        """Return the targets where a crash can be attributed to a suspect request.
+
+        A suspect runs on one target at a time.
+        """
+        if ask.fingerprint in self._list_running_fingerprints():
             return []
         return [
             target
@@ -330,10 +333,10 @@
         )
         target.start(waiting.request, run, waiting.prefixes)
         self._note_run(run, 1)
-        cached = waiting.ask.prompt_tokens - choice.uncached_tokens
+        cached_tokens = waiting.ask.prompt_tokens - choice.uncached_tokens
         reason = f"finish_s={choice.finish_s:.3f} first_token_s={choice.first_token_s:.3f}"
         waited_ms = to_ms(now_s - waiting.submitted_s)
-        grant = Grant(waiting.ask.request, target.row.name, waited_ms, cached, reason)
+        grant = Grant(waiting.ask.request, target.row.name, waited_ms, cached_tokens, reason)
         return Send(waiting.process, grant)
 
 
--- a/troutstand/core/shedding.py
+++ b/troutstand/core/shedding.py
@@ -1,4 +1,4 @@
-"""Keep a failure domain's queue, and shed from it the lowest tier first."""
+"""Queue the requests of a failure domain and shed the lowest tier first."""
 
 from __future__ import annotations
 
@@ -17,15 +17,14 @@
 if TYPE_CHECKING:
     from troutstand.core.estimate import Running, TargetEstimate
 
-_MILLISECONDS = 1000
-# A waiting request may take the slot of a lower tier this long before its
-# latest start.
+_MS_PER_S = 1000
+# A waiting request may preempt a lower tier from this long before its latest start.
 PREEMPT_MARGIN_S = 0.25
 
 
 @dataclass(frozen=True)
 class Send:
-    """Send a message to an entry process."""
+    """Carry a message to send to an entry process."""
 
     process: str
     message: Grant | Shed | Preempt
@@ -37,7 +36,7 @@
     Parameters
     ----------
     seed
-        Spreads the times at which refused callers come back.
+        Seed of the jitter on retry delays.
     """
 
     def __init__(self, failure_domain: str, seed: int) -> None:
@@ -49,11 +48,11 @@
 
     @property
     def waiting_count(self) -> int:
-        """Return how many requests wait."""
+        """Return the number of waiting requests."""
         return len(self._waiting)
 
     def count_tiers(self) -> list[TierCount]:
-        """Count what waits and runs of each tier."""
+        """Count the waiting and running requests of each tier."""
         waiting = Counter(item.ask.tier for item in self._waiting.values())
         running = Counter(
             run.ask.tier for target in self.targets.values() for run in target.running.values()
@@ -74,56 +73,56 @@
         del self._waiting[waiting.request]
 
     def _estimate_wait_s(self, waiting: WaitingRequest, now_s: float) -> float:
-        """Estimate the wait behind everything of the same or a higher tier."""
+        """Estimate the wait behind all requests of the same or a higher tier."""
         pool = self._pools.get(waiting.ask.serves, [])
-        ahead = self._list_ahead(waiting)
+        ahead = self._list_queues_ahead(waiting)
         free = sum(target.count_free(now_s) for target in pool)
         if sum(len(queue) for queue in ahead) <= free:
             return 0.0
         work_s = sum(queue.expected_s for queue in ahead)
         work_s += self._load.estimate_left_s(waiting.ask.serves, waiting.rank, now_s)
-        wait_s = work_s / max(1, _count_lasting_slots(pool))
-        return max(wait_s, self._estimate_limit_s(waiting, now_s))
+        wait_s = work_s / max(1, _count_unlimited_slots(pool))
+        return max(wait_s, self._estimate_limit_wait_s(waiting, now_s))
 
-    def _list_ahead(self, waiting: WaitingRequest) -> list[FairQueue]:
-        """Return the queues of the same and higher tiers."""
+    def _list_queues_ahead(self, waiting: WaitingRequest) -> list[FairQueue]:
+        """Return the queues for the same model or service of the same or a higher tier."""
         return [
             queue
             for key, queue in self._queues.items()
             if key.rank <= waiting.rank and key.serves == waiting.ask.serves
         ]
 
-    def _estimate_limit_s(self, waiting: WaitingRequest, now_s: float) -> float:
-        """Estimate the wait for the limits that all targets name; 0 where one names none."""
+    def _estimate_limit_wait_s(self, waiting: WaitingRequest, now_s: float) -> float:
+        """Estimate the wait for rate limits; 0 unless all usable targets announce one."""
         if not self._is_limited(waiting.ask):
             return 0.0
         usable = self._list_usable(waiting.ask)
         free = sum(target.count_free(now_s) for target in usable)
-        before = sum(len(queue) for queue in self._list_ahead(waiting)) - free
-        return max(0, before) / sum(target.report.rate_per_s for target in usable)
+        excess = sum(len(queue) for queue in self._list_queues_ahead(waiting)) - free
+        return max(0, excess) / sum(target.report.rate_per_s for target in usable)
 
-    # Shedding, the lowest tier first
+    # Shedding
 
     def _shed_lowest(self, waiting: WaitingRequest, code: ResultCode, now_s: float) -> list[Send]:
-        """Cancel lower running work for a request; shed it only where there is none.
+        """Preempt a running request of a lower tier; shed only if there is none.
 
-        Lower waiting work gives way before it, the lowest first. None of it is
-        shed while still lower work runs, which would turn the order round.
+        Waiting requests of lower tiers are shed before this one, the lowest tier first. Shedding
+        them while even lower tiers run would invert the priorities.
         """
-        run = self._find_lower_running(waiting, now_s)
+        run = self._find_preemptible(waiting, now_s)
         if run:
             return [self._preempt(run, now_s)]
         if code is ResultCode.SHED_DEADLINE and self._is_limited(waiting.ask):
             code = ResultCode.TARGETS_LIMITED
-        lower = sorted(self._find_lower_waiting(waiting), key=lambda item: -item.rank)
+        lower = sorted(self._list_lower_waiting(waiting), key=lambda item: -item.rank)
         if code is ResultCode.QUEUE_FULL and lower:
-            return [self._drop(lower[0], ResultCode.SHED_OVERLOAD, now_s)]
+            return [self._shed_queued(lower[0], ResultCode.SHED_OVERLOAD, now_s)]
         if self._list_lower_running(waiting, now_s):
             self.inversions += 1
-        sends = [self._drop(item, ResultCode.SHED_OVERLOAD, now_s) for item in lower]
-        return [*sends, self._drop(waiting, code, now_s)]
+        sends = [self._shed_queued(item, ResultCode.SHED_OVERLOAD, now_s) for item in lower]
+        return [*sends, self._shed_queued(waiting, code, now_s)]
 
-    def _find_lower_waiting(self, waiting: WaitingRequest) -> list[WaitingRequest]:
+    def _list_lower_waiting(self, waiting: WaitingRequest) -> list[WaitingRequest]:
         if all(key.rank <= waiting.rank for key, queue in self._queues.items() if queue):
             return []
         usable = {target.row.name for target in self._list_usable(waiting.ask)}
@@ -135,9 +134,9 @@
         ]
 
     def _list_lower_running(self, waiting: WaitingRequest, now_s: float) -> list[Running]:
-        """Return the lower running work whose place a request could take.
+        """Return the running requests of lower tiers whose slot this request could take.
 
-        The place of work at a target whose limit leaves no room is no place.
+        Targets whose rate limit is exhausted are skipped: their slots could not be reused.
         """
         return [
             run
@@ -147,7 +146,7 @@
             if run.rank > waiting.rank and not run.preempted
         ]
 
-    def _find_lower_running(self, waiting: WaitingRequest, now_s: float) -> Running | None:
+    def _find_preemptible(self, waiting: WaitingRequest, now_s: float) -> Running | None:
         found = self._list_lower_running(waiting, now_s)
         lower = [run for run in found if self.targets[run.target].row.cancels]
         return max(lower, key=lambda run: (run.rank, run.granted_s), default=None)
@@ -157,10 +156,10 @@
         retry_s = self._retry.spread_s(run.expected_s)
         return Send(run.process, Preempt(run.ask.request, to_ms(retry_s)))
 
-    def _press(self, waiting: WaitingRequest, now_s: float) -> list[Send]:
+    def _preempt_or_shed(self, waiting: WaitingRequest, now_s: float) -> list[Send]:
         if now_s >= waiting.latest_start_s:
-            return self._shed_lowest(waiting, self._explain_wait(waiting), now_s)
-        run = self._find_lower_running(waiting, now_s)
+            return self._shed_lowest(waiting, self._get_expiry_code(waiting), now_s)
+        run = self._find_preemptible(waiting, now_s)
         pending = any(
             other.preempted
             for target in self._list_usable(waiting.ask)
@@ -170,14 +169,14 @@
             return []
         return [self._preempt(run, now_s)]
 
-    def _explain_wait(self, waiting: WaitingRequest) -> ResultCode:
+    def _get_expiry_code(self, waiting: WaitingRequest) -> ResultCode:
         use = self._workspaces.get(waiting.ask.workspace)
         if use and use.is_full():
             return ResultCode.WORKSPACE_LIMIT
         return ResultCode.SHED_DEADLINE
 
-    def _drop(self, waiting: WaitingRequest, code: ResultCode, now_s: float) -> Send:
-        limit_s = self._estimate_limit_s(waiting, now_s)
+    def _shed_queued(self, waiting: WaitingRequest, code: ResultCode, now_s: float) -> Send:
+        limit_s = self._estimate_limit_wait_s(waiting, now_s)
         self._dequeue(waiting)
         retry_s = max(limit_s, self._estimate_wait_s(waiting, now_s))
         waited_ms = to_ms(now_s - waiting.submitted_s)
@@ -188,15 +187,16 @@
         return Send(waiting.process, Shed(waiting.ask.request, int(code), retry_ms, detail))
 
 
-def _count_lasting_slots(pool: list[TargetEstimate]) -> int:
-    """Return the slots that go on to take requests; all where each target names a limit.
+def _count_unlimited_slots(pool: list[TargetEstimate]) -> int:
+    """Return the slots of targets without a rate limit, or all slots if every target has one.
 
-    Counting the slots of a target that names a limit halves the wait that callers are told.
+    Slots of rate-limited targets do not turn over with each request and would make the
+    estimated wait too short.
     """
-    lasting = sum(target.row.slots for target in pool if target.report.pace is None)
-    return lasting or sum(target.row.slots for target in pool)
+    unlimited = sum(target.row.slots for target in pool if target.report.pace is None)
+    return unlimited or sum(target.row.slots for target in pool)
 
 
 def to_ms(seconds: float) -> int:
-    """Return whole milliseconds, none below 0."""
-    return max(0, int(seconds * _MILLISECONDS))
+    """Convert seconds to whole milliseconds, at least 0."""
+    return max(0, int(seconds * _MS_PER_S))
