--- a/benchmarks/restart.py
+++ b/benchmarks/restart.py
@@ -47,7 +47,7 @@
         versions = range(first, min(changes, first + _BATCH - 1) + 1)
         records = [record for version in versions for record in _make_records(version)]
         for record in records:
-            acceptor.load(record)
+            acceptor.load_record(record)
         storage.append(records)
         if storage.log_records > SNAPSHOT_RECORDS:
             storage.replace(acceptor.collect_snapshot(time.time(), _RETENTION_S))
@@ -63,7 +63,7 @@
             start_s = time.perf_counter()
             storage, acceptor = Storage(folder), Acceptor(_IDENTITY)
             for record in storage.loaded:
-                acceptor.load(record)
+                acceptor.load_record(record)
             taken_s = time.perf_counter() - start_s
             assert acceptor.follower.version == changes
             size = sum(path.stat().st_size for path in folder.iterdir())
--- a/troutstand/core/acceptor.py
+++ b/troutstand/core/acceptor.py
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True)
-class Handled:
+class AcceptorResult:
     """Carry a reply and what must be synced before it is sent."""
 
     reply: Promise | Accepted | Refused | CopyPage
@@ -96,11 +96,11 @@
         member = self.find_member()
         return member is not None and member.state is MemberState.voting
 
-    def describe_keepers(self) -> KeepersReply:
+    def report_keepers(self) -> KeepersReply:
         """Tell the known keeper set and this disk."""
         return KeepersReply(self.identity.process, self.identity.disk_id, self.keepers)
 
-    def load(self, record: StoredRecord) -> None:
+    def load_record(self, record: StoredRecord) -> None:
         """Take a record back from the disk or from another keeper's copy."""
         match record:
             case StoredRegister(state):
@@ -113,15 +113,15 @@
             case StoredTable(version, table):
                 self.follower.install(version, table)
             case StoredConfiguration():
-                self.learn_decided(record)
+                self.install_decided(record)
             case StoredIdentity() | StoredSequence():
                 pass
 
-    def handle(self, message: Prepare | Accept, now_s: float) -> Handled:
+    def handle(self, message: Prepare | Accept, now_s: float) -> AcceptorResult:
         """Answer a proposer."""
         refusal = self._check_voter(message)
         if refusal:
-            return Handled(refusal)
+            return AcceptorResult(refusal)
         state = self.registers.get(message.register) or RegisterState(message.register)
         match message:
             case Prepare():
@@ -129,10 +129,10 @@
             case Accept():
                 changed, reply = handle_accept(state, message)
         if changed is state or changed == state:
-            return Handled(reply)
+            return AcceptorResult(reply)
         changed = _stamp_state(changed, now_s)
         self.registers[message.register] = changed
-        return Handled(reply, [StoredRegister(changed)])
+        return AcceptorResult(reply, [StoredRegister(changed)])
 
     def _check_voter(self, message: Prepare | Accept) -> Refused | None:
         if not self.is_voting:
@@ -153,7 +153,7 @@
         place = parse_line_register(register)
         return place is not None and place.version <= self.decided[place.line].version
 
-    def learn_decided(self, record: StoredConfiguration) -> list[StoredRecord]:
+    def install_decided(self, record: StoredConfiguration) -> list[StoredRecord]:
         """Take a newer decided content of a line and drop the registers it settles."""
         if record.version <= self.decided[record.line].version:
             return []
@@ -162,7 +162,7 @@
             del self.registers[name]
         return [record]
 
-    def describe_newest(self, ask: NewestAsk) -> Newest | Refused:
+    def report_newest(self, ask: NewestAsk) -> Newest | Refused:
         """Tell how far a line has come here, as a vote."""
         if not self.is_voting or ask.epoch != self.epoch:
             return Refused(int(ResultCode.KEEPER_EPOCH), "", self.keepers)
@@ -199,7 +199,7 @@
             records[1:1] = self.decided.values()
         return CopyPage(records, len(page) == len(names), page[-1] if page else "")
 
-    def merge_copy(self, record: StoredRecord) -> list[StoredRecord]:
+    def merge_record(self, record: StoredRecord) -> list[StoredRecord]:
         """Take a copied record where it is newer than what is held."""
         match record:
             case StoredRegister(state):
@@ -213,7 +213,7 @@
             case StoredTable(version, table):
                 return [record] if self.follower.install(version, table) else []
             case StoredConfiguration():
-                return self.learn_decided(record)
+                return self.install_decided(record)
             case _:
                 return []
 
@@ -252,24 +252,24 @@
 
 
 @dataclass(frozen=True)
-class LinePlace:
+class LineVersion:
     """Name one version of a line."""
 
     line: Line
     version: int
 
 
-def name_line_register(place: LinePlace) -> RegisterName:
+def name_line_register(place: LineVersion) -> RegisterName:
     """Name the register that holds the content of one version of a line."""
     return RegisterName(f"{place.line.value}/{place.version}")
 
 
-def parse_line_register(register: str) -> LinePlace | None:
+def parse_line_register(register: str) -> LineVersion | None:
     """Return the place whose register this is, or None for another register."""
     name, _, digits = register.partition("/")
     if name not in _LINE_NAMES or not digits.isdigit():
         return None
-    return LinePlace(Line(name), int(digits))
+    return LineVersion(Line(name), int(digits))
 
 
 def _is_expired(state: RegisterState, oldest_s: float, oldest_version: int) -> bool:
--- a/troutstand/core/command.py
+++ b/troutstand/core/command.py
@@ -21,15 +21,15 @@
 from troutstand.generated.messages import Claim, Outcome, OutcomeKind
 
 # The owner of an attempt that was closed before anybody claimed it.
-NOBODY = ProcessId("")
+NO_OWNER = ProcessId("")
 
 
-def name_claim(key: CommandKey, attempt: int) -> RegisterName:
+def name_claim_register(key: CommandKey, attempt: int) -> RegisterName:
     """Name the register that holds an attempt's claim."""
     return RegisterName(f"claim/{key}/{attempt}")
 
 
-def name_outcome(key: CommandKey, attempt: int) -> RegisterName:
+def name_outcome_register(key: CommandKey, attempt: int) -> RegisterName:
     """Name the register that holds an attempt's outcome."""
     return RegisterName(f"outcome/{key}/{attempt}")
 
@@ -55,7 +55,7 @@
 
     register: RegisterName
     outcome: Outcome
-    owned: bool
+    is_owner: bool
 
 
 @dataclass(frozen=True)
@@ -152,7 +152,7 @@
     CLAIMING = "claiming"
     DISPATCHING = "dispatching"
     RECORDING = "recording"
-    FOLLOWING = "following"
+    READING = "following"
     ASKING = "asking"
     CLOSING = "closing"
     ENDED = "ended"
@@ -165,7 +165,7 @@
 )
 
 
-def make_not_run(code: ResultCode) -> Outcome:
+def make_not_run_outcome(code: ResultCode) -> Outcome:
     """Make the outcome of an attempt that its owner gave up before sending."""
     return Outcome(kind=OutcomeKind.not_run, code=int(code), status=503)
 
@@ -192,16 +192,16 @@
         incarnation: Incarnation,
         nonce: str,
         digest: str,
-        minted: bool,
+        is_key_generated: bool,
         last_attempt: int = 1,
     ) -> None:
         self.key = key
         self.last_attempt = last_attempt
         self.attempt = 1
         self.state = CommandState.CLAIMING
-        self.sent = False
+        self.is_dispatched = False
         self._claim = Claim(owner, incarnation, nonce, digest)
-        self.is_minted = minted
+        self.is_key_generated = is_key_generated
         self._outcome: Outcome | None = None
 
     @property
@@ -213,100 +213,102 @@
         """Begin with the first attempt: claim it, or close it where it is not the caller's."""
         claim = self._claim
         if self.attempt < self.last_attempt:
-            claim = Claim(NOBODY, "", "", self._claim.digest)
-        return ProposeClaim(name_claim(self.key, self.attempt), claim)
+            claim = Claim(NO_OWNER, "", "", self._claim.digest)
+        return ProposeClaim(name_claim_register(self.key, self.attempt), claim)
 
     def receive(self, event: Event) -> Action | None:
         """Take an event and return what to do next."""
         match (self.state, event):
             case (CommandState.CLAIMING, ClaimDecided(claim)):
-                return self._take_claim(claim)
+                return self._handle_claim(claim)
             case (CommandState.CLAIMING, RegisterUnreachable()):
-                return self._give_up()
-            case (CommandState.FOLLOWING, ClaimDecided(claim)):
-                return self._follow_claim(claim)
-            case (CommandState.FOLLOWING, ClaimBlank()):
+                return self._abandon_claim()
+            case (CommandState.READING, ClaimDecided(claim)):
+                return self._handle_read_claim(claim)
+            case (CommandState.READING, ClaimBlank()):
                 return self._refuse(ResultCode.COMMAND_NOT_RUN, Run.NO)
-            case (CommandState.FOLLOWING, RegisterUnreachable()):
+            case (CommandState.READING, RegisterUnreachable()):
                 return self._refuse(ResultCode.COMMAND_UNAVAILABLE, Run.UNKNOWN)
             case (CommandState.DISPATCHING, DispatchEnded(outcome)):
-                return self._record(outcome)
+                return self._propose_outcome(outcome)
             case (CommandState.RECORDING, OutcomeDecided(_) | RegisterUnreachable()):
-                return self._answer_own()
+                return self._finish_dispatched()
             case (CommandState.ASKING, OwnerAnswered(None)):
                 return self._refuse(ResultCode.COMMAND_STILL_RUNNING, Run.UNKNOWN)
             case (CommandState.ASKING, OwnerAnswered(outcome)) if outcome is not None:
-                return self._take_word(outcome)
+                return self._handle_owner_outcome(outcome)
             case (CommandState.ASKING, OwnerGone()):
-                return self._close(UNKNOWN_OUTCOME)
+                return self._close_attempt(UNKNOWN_OUTCOME)
             case (CommandState.CLOSING, OutcomeDecided(outcome)):
-                return self._take_outcome(outcome)
+                return self._handle_outcome(outcome)
             case (CommandState.CLOSING, RegisterUnreachable()):
                 return self._refuse(ResultCode.COMMAND_UNAVAILABLE, Run.UNKNOWN)
             case _:
                 return None
 
-    def _take_claim(self, claim: Claim) -> Action:
+    def _handle_claim(self, claim: Claim) -> Action:
         if claim.digest != self._claim.digest:
             return self._refuse(ResultCode.KEY_REUSED, Run.UNKNOWN)
-        if claim.owner == NOBODY:
-            return self._take_outcome(make_not_run(ResultCode.COMMAND_NOT_RUN))
+        if claim.owner == NO_OWNER:
+            return self._handle_outcome(make_not_run_outcome(ResultCode.COMMAND_NOT_RUN))
         if claim == self._claim:
             self.state = CommandState.DISPATCHING
-            self.sent = True
+            self.is_dispatched = True
             return Dispatch(self.attempt)
-        return self._ask(claim)
+        return self._ask_owner(claim)
 
-    def _follow_claim(self, claim: Claim) -> Action:
-        if claim.owner == NOBODY:
-            return self._follow_next()
-        return self._ask(claim)
+    def _handle_read_claim(self, claim: Claim) -> Action:
+        if claim.owner == NO_OWNER:
+            return self._read_next_claim()
+        return self._ask_owner(claim)
 
-    def _follow_next(self) -> Action:
+    def _read_next_claim(self) -> Action:
         # A caller that began to count anew may have run a later attempt.
         self.attempt += 1
-        self.state = CommandState.FOLLOWING
-        return ReadClaim(name_claim(self.key, self.attempt))
+        self.state = CommandState.READING
+        return ReadClaim(name_claim_register(self.key, self.attempt))
 
-    def _ask(self, claim: Claim) -> Action:
+    def _ask_owner(self, claim: Claim) -> Action:
         self.state = CommandState.ASKING
-        register = name_outcome(self.key, self.attempt)
+        register = name_outcome_register(self.key, self.attempt)
         return AskOwner(ProcessId(claim.owner), register, claim.nonce)
 
-    def _give_up(self) -> Action:
+    def _abandon_claim(self) -> Action:
         # The claim may yet be decided in our name; the nonce is never used
         # again, so that nothing follows from it.
         return self._refuse(
-            ResultCode.COMMAND_UNAVAILABLE, Run.NO if self.is_minted else Run.UNKNOWN
+            ResultCode.COMMAND_UNAVAILABLE, Run.NO if self.is_key_generated else Run.UNKNOWN
         )
 
-    def _record(self, outcome: Outcome) -> Action:
+    def _propose_outcome(self, outcome: Outcome) -> Action:
         self.state = CommandState.RECORDING
         self._outcome = outcome
-        return ProposeOutcome(name_outcome(self.key, self.attempt), outcome, owned=True)
+        return ProposeOutcome(name_outcome_register(self.key, self.attempt), outcome, is_owner=True)
 
-    def _answer_own(self) -> Action:
+    def _finish_dispatched(self) -> Action:
         # What the target told is true even where somebody closed the attempt
         # as unknown meanwhile.
         assert self._outcome is not None
         return self._finish(self._outcome)
 
-    def _take_word(self, outcome: Outcome) -> Action:
+    def _handle_owner_outcome(self, outcome: Outcome) -> Action:
         if outcome.kind is OutcomeKind.not_run:
             # Only once its end is durable may the next attempt begin, so that
             # every later resend takes the same way.
-            return self._close(outcome)
-        return self._take_outcome(outcome)
+            return self._close_attempt(outcome)
+        return self._handle_outcome(outcome)
 
-    def _close(self, outcome: Outcome) -> Action:
+    def _close_attempt(self, outcome: Outcome) -> Action:
         self.state = CommandState.CLOSING
-        return ProposeOutcome(name_outcome(self.key, self.attempt), outcome, owned=False)
+        return ProposeOutcome(
+            name_outcome_register(self.key, self.attempt), outcome, is_owner=False
+        )
 
-    def _take_outcome(self, outcome: Outcome) -> Action:
+    def _handle_outcome(self, outcome: Outcome) -> Action:
         if outcome.kind is not OutcomeKind.not_run:
             return self._finish(outcome)
         if self.attempt >= self.last_attempt:
-            return self._follow_next()
+            return self._read_next_claim()
         self.attempt += 1
         self.state = CommandState.CLAIMING
         return self.start()
--- a/troutstand/core/lease.py
+++ b/troutstand/core/lease.py
@@ -23,7 +23,7 @@
 
 _MILLISECONDS = 1000
 # Holders give up this share of a lease early, for drift of clock rates.
-DRIFT_SHARE = 0.1
+CLOCK_DRIFT_SHARE = 0.1
 
 
 @dataclass
@@ -39,19 +39,19 @@
 
     Parameters
     ----------
-    silent_until_s
+    abstain_until_s
         A voter that restarted forgot its votes; it casts none until every
         earlier one has run out.
     """
 
-    silent_until_s: float
+    abstain_until_s: float
     _votes: dict[str, _Vote] = field(default_factory=dict)
 
     def handle_ask(self, ask: LeaseAsk, now_s: float) -> LeaseVote:
         """Vote for the asker unless another's vote still runs."""
         vote = self._votes.get(ask.resource)
-        if now_s < self.silent_until_s:
-            return LeaseVote(False, "", _to_ms(self.silent_until_s - now_s))
+        if now_s < self.abstain_until_s:
+            return LeaseVote(False, "", _to_ms(self.abstain_until_s - now_s))
         if vote and vote.until_s > now_s and not _is_same(vote, ask):
             return LeaseVote(False, vote.holder, _to_ms(vote.until_s - now_s))
         until_s = now_s + ask.lease_ms / _MILLISECONDS
@@ -64,7 +64,7 @@
         if vote and vote.holder == release.holder and vote.incarnation == release.incarnation:
             del self._votes[release.resource]
 
-    def drop_holders(self, is_ended: Callable[[str], bool]) -> None:
+    def drop_ended_holders(self, is_ended: Callable[[str], bool]) -> None:
         """Take votes back from processes that have surely ended."""
         ended = [name for name, vote in self._votes.items() if is_ended(vote.holder)]
         for name in ended:
@@ -94,17 +94,17 @@
     holder: ProcessId
     lease_s: float
     keepers: frozenset[ProcessId]
-    domain: frozenset[ProcessId]
+    domain_members: frozenset[ProcessId]
     _votes: dict[ProcessId, float] = field(default_factory=dict)
 
-    def count_vote(self, voter: ProcessId, vote: LeaseVote, asked_s: float) -> None:
+    def record_vote(self, voter: ProcessId, vote: LeaseVote, asked_s: float) -> None:
         """Count a vote from the moment before it was asked for."""
         if vote.granted:
-            self._votes[voter] = asked_s + self.lease_s * (1 - DRIFT_SHARE)
+            self._votes[voter] = asked_s + self.lease_s * (1 - CLOCK_DRIFT_SHARE)
         else:
             self._votes.pop(voter, None)
 
-    def drop_votes(self) -> None:
+    def clear_votes(self) -> None:
         """Forget all votes: the lease was given back."""
         self._votes.clear()
 
@@ -115,4 +115,4 @@
             return False
         votes = len(running & self.keepers)
         has_majority = bool(self.keepers) and votes >= len(self.keepers) // 2 + 1
-        return has_majority or self.domain <= running
+        return has_majority or self.domain_members <= running
--- a/troutstand/core/succession.py
+++ b/troutstand/core/membership.py
@@ -20,25 +20,25 @@
     from troutstand.core.contacts import ContactRegistry
     from troutstand.generated.messages import Contact, KeepersReply
 
-GONE_S = 2.5
-FRESH_S = 1.0
-FIRST_EPOCH = 1
-FIRST_DISK = "first"
+MEMBER_TIMEOUT_S = 2.5
+CONTACT_MAX_AGE_S = 1.0
+INITIAL_EPOCH = 1
+INITIAL_DISK_ID = "first"
 KEEPER_ROLE = "keeper"
 
 
-def name_keepers(epoch: int) -> RegisterName:
+def name_keepers_register(epoch: int) -> RegisterName:
     """Name the register that holds the keeper set of an epoch."""
     return RegisterName(f"keepers/{epoch}")
 
 
-def form_first_set(processes: list[str]) -> KeeperSet:
+def make_initial_set(processes: list[str]) -> KeeperSet:
     """Make the set that all seeds agree on without a word at the first start."""
-    members = [Member(p, FIRST_DISK, MemberState.voting) for p in sorted(set(processes))]
-    return KeeperSet(FIRST_EPOCH, members)
+    members = [Member(p, INITIAL_DISK_ID, MemberState.voting) for p in sorted(set(processes))]
+    return KeeperSet(INITIAL_EPOCH, members)
 
 
-def form_set(replies: list[KeepersReply]) -> KeeperSet:
+def make_set(replies: list[KeepersReply]) -> KeeperSet:
     """Make the first keeper set.
 
     Keepers that hold this very set already are no obstacle: the call that formed it did not
@@ -52,7 +52,7 @@
     """
     ordered = sorted(replies, key=lambda reply: reply.process)
     members = [Member(r.process, r.disk_id, MemberState.voting) for r in ordered]
-    keepers = KeeperSet(FIRST_EPOCH, members)
+    keepers = KeeperSet(INITIAL_EPOCH, members)
     for reply in ordered:
         if reply.keepers not in (None, keepers):
             raise TroutstandError(
@@ -62,7 +62,7 @@
     return keepers
 
 
-def count_needed(keepers: KeeperSet) -> int:
+def count_copy_quorum(keepers: KeeperSet) -> int:
     """Return how many voters a copying disk must read before it votes.
 
     A majority of all members, itself counted as one that has nothing: whatever
@@ -95,9 +95,9 @@
         contact = _find_fresh(book, member.process, now_s)
         if contact is not None and contact.disk_id not in ("", member.disk_id):
             return _put_member(keepers, member.process, contact)
-    is_watching = now_s - watching_since_s > GONE_S
+    is_watching = now_s - watching_since_s > MEMBER_TIMEOUT_S
     others = [m for m in keepers.members if m.process != own]
-    gone = [m for m in others if book.get_age_s(m.process, now_s) > GONE_S]
+    gone = [m for m in others if book.get_age_s(m.process, now_s) > MEMBER_TIMEOUT_S]
     copying = [m for m in keepers.members if m.state is MemberState.copying]
     if any(member not in gone for member in copying):
         return None
@@ -132,7 +132,7 @@
     return KeeperSet(keepers.epoch + 1, members)
 
 
-def promote(keepers: KeeperSet, process: str) -> KeeperSet:
+def promote_member(keepers: KeeperSet, process: str) -> KeeperSet:
     """Make the set in which a complete copy votes."""
     members = [
         Member(m.process, m.disk_id, MemberState.voting) if m.process == process else m
@@ -143,7 +143,7 @@
 
 def _find_fresh(book: ContactRegistry, process: str, now_s: float) -> Contact | None:
     known = book.find(process)
-    if known is None or now_s - known.last_heard_s > FRESH_S:
+    if known is None or now_s - known.last_heard_s > CONTACT_MAX_AGE_S:
         return None
     return known.contact
 
--- a/troutstand/core/register.py
+++ b/troutstand/core/register.py
@@ -22,7 +22,7 @@
 if TYPE_CHECKING:
     from troutstand.core.ids import ProcessId, RegisterName
 
-FRESH_ROUND = 0
+INITIAL_ROUND = 0
 
 
 def rank_ballot(ballot: Ballot | None) -> tuple[int, str]:
@@ -94,18 +94,18 @@
 
 
 @dataclass(frozen=True)
-class Blank:
+class NoValue:
     """Report that a majority held no value when it was read."""
 
 
 @dataclass(frozen=True)
-class Outbid:
+class Preempted:
     """Report that another proposer was seen; try again above its round."""
 
     round: int
 
 
-Step = Broadcast | Decided | Blank | Outbid
+Step = Broadcast | Decided | NoValue | Preempted
 
 
 @dataclass
@@ -136,7 +136,7 @@
 
     def start(self) -> Step:
         """Begin the ballot: round 0 goes straight to the accept."""
-        if self.ballot.round == FRESH_ROUND and self.value is not None:
+        if self.ballot.round == INITIAL_ROUND and self.value is not None:
             return self._propose(self.value)
         return Broadcast(Prepare(self.register, self.ballot, self.epoch))
 
@@ -146,7 +146,7 @@
             return None
         if not reply.granted:
             promised = reply.promised
-            return Outbid(promised.round if promised else self.ballot.round)
+            return Preempted(promised.round if promised else self.ballot.round)
         match reply:
             case Promise():
                 return self._receive_promise(keeper, reply)
@@ -163,7 +163,7 @@
         if highest.accepted is not None and highest.value is not None:
             return self._propose(highest.value)
         if self.value is None:
-            return Blank()
+            return NoValue()
         return self._propose(self.value)
 
     def _receive_accepted(self, keeper: ProcessId) -> Step | None:
--- a/troutstand/daemon/commands.py
+++ b/troutstand/daemon/commands.py
@@ -11,7 +11,7 @@
 from troutstand.core.codec import decode_record, encode_record
 from troutstand.core.codes import ResultCode
 from troutstand.core.command import (
-    NOBODY,
+    NO_OWNER,
     Answer,
     AskOwner,
     ClaimBlank,
@@ -28,8 +28,8 @@
     ReadClaim,
     Refuse,
     RegisterUnreachable,
-    make_not_run,
-    name_outcome,
+    make_not_run_outcome,
+    name_outcome_register,
 )
 from troutstand.core.errors import TroutstandError
 from troutstand.generated.messages import Claim, Outcome, OutcomeAsk, OutcomeReply, PeerMessage
@@ -146,7 +146,7 @@
         """Propose an outcome and tell what was decided."""
         try:
             data = await self._registers.decide(
-                action.register, encode_record(action.outcome), action.owned
+                action.register, encode_record(action.outcome), action.is_owner
             )
         except TroutstandError:
             # The command ends as refused or unknown, which is logged.
@@ -214,9 +214,9 @@
     ) -> Event:
         match action:
             case ProposeClaim():
-                register = name_outcome(self._command.key, self._command.attempt)
+                register = name_outcome_register(self._command.key, self._command.attempt)
                 self._ended = self._commands.open_attempt(register, self._nonce)
-                fresh = self._command.is_minted and action.claim.owner != NOBODY
+                fresh = self._command.is_key_generated and action.claim.owner != NO_OWNER
                 return await self._commands.propose_claim(action, fresh)
             case ReadClaim():
                 return await self._commands.read_claim(action)
@@ -235,8 +235,8 @@
 
     def _resolve_unsent(self) -> None:
         """Tell those who ask that this process never sent, and never will."""
-        if self._ended and not self._ended.done() and not self._command.sent:
-            self._ended.set_result(make_not_run(ResultCode.COMMAND_NOT_RUN))
+        if self._ended and not self._ended.done() and not self._command.is_dispatched:
+            self._ended.set_result(make_not_run_outcome(ResultCode.COMMAND_NOT_RUN))
 
 
 def _get_retry_s(code: ResultCode) -> float | None:
--- a/troutstand/daemon/keeper.py
+++ b/troutstand/daemon/keeper.py
@@ -76,7 +76,7 @@
         self.journal = Journal(self.storage)
         self.acceptor = Acceptor(identity)
         for record in self.storage.loaded:
-            self.acceptor.load(record)
+            self.acceptor.load_record(record)
         self.storage.loaded = []
         limits = settings.limits
         self.registers = RegisterClient(
@@ -149,7 +149,7 @@
                 self.voter.handle_release(message)
                 return Acknowledged()
             case KeepersAsk():
-                return self.acceptor.describe_keepers()
+                return self.acceptor.report_keepers()
             case KeepersInstall(keepers):
                 return self.membership.install(keepers)
             case CopyAsk():
@@ -170,7 +170,7 @@
         return reply
 
     def _drop_dead_votes(self) -> None:
-        self.voter.drop_holders(self.node.peers.is_refused)
+        self.voter.drop_ended_holders(self.node.peers.is_refused)
 
     async def _learn(self, message: Changes | Snapshot) -> PeerMessage:
         await self.configuration.learn(message)
--- a/troutstand/daemon/membership.py
+++ b/troutstand/daemon/membership.py
@@ -16,7 +16,12 @@
 from troutstand.core.codec import decode_record, encode_record
 from troutstand.core.codes import ResultCode
 from troutstand.core.errors import TroutstandError
-from troutstand.core.succession import form_set, name_keepers, promote, replace_member
+from troutstand.core.membership import (
+    make_set,
+    name_keepers_register,
+    promote_member,
+    replace_member,
+)
 from troutstand.generated.messages import (
     Acknowledged,
     CopyAsk,
@@ -81,7 +86,7 @@
         """Make all configured keepers the first set; each must be formatted and new."""
         names = sorted(self._keeper.node.peers.keepers | {self._keeper.node.process})
         replies = [await self._ask(name, KeepersAsk()) for name in names]
-        keepers = form_set([r for r in replies if isinstance(r, KeepersReply)])
+        keepers = make_set([r for r in replies if isinstance(r, KeepersReply)])
         await self._install_everywhere(keepers, frozenset(names))
         return keepers
 
@@ -102,7 +107,7 @@
         return self._require_set()
 
     async def _decide(self, keepers: KeeperSet) -> KeeperSet:
-        register = name_keepers(keepers.epoch)
+        register = name_keepers_register(keepers.epoch)
         decided = await self._keeper.registers.decide(register, encode_record(keepers))
         winner = decode_record(decided, KeeperSet)
         if winner != keepers:
@@ -138,7 +143,7 @@
         keepers = self._require_set()
         for voter in sorted(list_voters(keepers)):
             await self._copy_from(voter, keepers.epoch)
-        promoted = await self._decide(promote(keepers, self._keeper.node.process))
+        promoted = await self._decide(promote_member(keepers, self._keeper.node.process))
         await self._install_everywhere(promoted, frozenset({self._keeper.node.process}))
         self._keeper.node.events.emit("keeper_joined", epoch=promoted.epoch)
 
@@ -149,7 +154,7 @@
             if not isinstance(reply, CopyPage):
                 raise TroutstandError(ResultCode.KEEPER_CHANGE_REFUSED, f"{voter} sent no page")
             acceptor = self._keeper.acceptor
-            records = [out for record in reply.records for out in acceptor.merge_copy(record)]
+            records = [out for record in reply.records for out in acceptor.merge_record(record)]
             if records:
                 await self._keeper.journal.write(records)
             if reply.last:
--- a/troutstand/daemon/registers.py
+++ b/troutstand/daemon/registers.py
@@ -11,7 +11,7 @@
 from troutstand.core.acceptor import list_voters
 from troutstand.core.codes import ResultCode
 from troutstand.core.errors import TroutstandError
-from troutstand.core.register import FRESH_ROUND, Blank, Broadcast, Decided, Outbid, Proposer
+from troutstand.core.register import INITIAL_ROUND, Broadcast, Decided, NoValue, Preempted, Proposer
 from troutstand.generated.messages import (
     Accepted,
     Ballot,
@@ -110,7 +110,7 @@
         return await self._run(register, None, False)
 
     async def _run(self, register: RegisterName, value: bytes | None, fresh: bool) -> bytes | None:
-        round_ = FRESH_ROUND if fresh else 1
+        round_ = INITIAL_ROUND if fresh else 1
         backoff_s = _BACKOFF_S
         try:
             async with asyncio.timeout(self._timeout_s):
@@ -121,9 +121,9 @@
                     match step:
                         case Decided(decided):
                             return decided
-                        case Blank():
+                        case NoValue():
                             return None
-                        case Outbid(other):
+                        case Preempted(other):
                             round_ = max(round_, other) + 1
                     await asyncio.sleep(backoff_s * (0.5 + self._random.random()))
                     backoff_s = min(_MAX_BACKOFF_S, backoff_s * 2)
@@ -132,7 +132,7 @@
 
     async def _run_ballot(
         self, register: RegisterName, value: bytes | None, round_: int
-    ) -> Decided | Blank | Outbid | None:
+    ) -> Decided | NoValue | Preempted | None:
         voters = list_voters(self.keepers)
         if not voters:
             return None
@@ -145,7 +145,7 @@
 
     async def _collect(
         self, proposer: Proposer, step: Broadcast, voters: frozenset[ProcessId]
-    ) -> Broadcast | Decided | Blank | Outbid | None:
+    ) -> Broadcast | Decided | NoValue | Preempted | None:
         """Send a step to the voters and return what their replies lead to."""
         replies: asyncio.Queue[tuple[ProcessId, PeerMessage | None]] = asyncio.Queue()
         for voter in voters:
--- a/troutstand/daemon/scheduling.py
+++ b/troutstand/daemon/scheduling.py
@@ -79,7 +79,7 @@
 
     def handle_ask(self, peer: ProcessId, ask: LeaseAsk) -> LeaseVote:
         """Vote for a peer that wants to be scheduler."""
-        self._voter.drop_holders(self._node.peers.is_refused)
+        self._voter.drop_ended_holders(self._node.peers.is_refused)
         return self._voter.handle_ask(ask, read_clock_s())
 
     def handle_release(self, release: LeaseRelease) -> None:
@@ -153,7 +153,7 @@
         lease_ms = int(self._lease_s * _MILLISECONDS)
         ask = LeaseAsk(self._resource, self._node.process, self._node.incarnation, lease_ms)
         own = self.handle_ask(self._node.process, ask)
-        self._holder.count_vote(self._node.process, own, asked_s)
+        self._holder.record_vote(self._node.process, own, asked_s)
         if not own.granted:
             return
         peers = self._node.peers
@@ -165,7 +165,7 @@
             # Its process has ended, and a new one casts no vote for a lease's
             # length: an entry process counts as agreed, a keeper as silent.
             if peer in self._node.peers.domain_entries:
-                self._holder.count_vote(peer, LeaseVote(True, ask.holder, ask.lease_ms), asked_s)
+                self._holder.record_vote(peer, LeaseVote(True, ask.holder, ask.lease_ms), asked_s)
             return
         try:
             vote = await self._node.peers.ask(peer, ask, self._lease_s / _ASKS_A_LEASE)
@@ -173,7 +173,7 @@
             # A silent peer casts no vote; the next ask comes within the lease.
             return
         if isinstance(vote, LeaseVote):
-            self._holder.count_vote(peer, vote, asked_s)
+            self._holder.record_vote(peer, vote, asked_s)
 
     def _update_role(self) -> None:
         is_held = self._holder.is_held(read_clock_s())
@@ -229,7 +229,7 @@
         release = LeaseRelease(self._resource, self._node.process, self._node.incarnation)
         if self.scheduler is not None:
             self._end("drained")
-        self._holder.drop_votes()
+        self._holder.clear_votes()
         self._voter.handle_release(release)
         peers = self._node.peers
         peers.broadcast(release, peers.keepers | peers.domain_entries)
--- a/troutstand/daemon/services.py
+++ b/troutstand/daemon/services.py
@@ -13,7 +13,7 @@
 
 from troutstand.backends.base import Call, Reply
 from troutstand.core.codes import ResultCode, Run
-from troutstand.core.command import UNKNOWN_OUTCOME, make_not_run
+from troutstand.core.command import UNKNOWN_OUTCOME, make_not_run_outcome
 from troutstand.core.errors import TroutstandError
 from troutstand.core.fingerprint import take_fingerprint
 from troutstand.core.ids import CommandKey
@@ -122,7 +122,7 @@
             grant = await self._place(call, request, [])
         except TroutstandError as error:
             # The outcome carries the number.
-            return make_not_run(error.code)
+            return make_not_run_outcome(error.code)
         target = grant.target
         self._entry.events.emit("command_dispatched", request, target=target, key=call.command_key)
         try:
@@ -130,7 +130,7 @@
         except TroutstandError as error:
             # target_failed tells of it.
             if error.code is ResultCode.TARGET_UNREACHABLE:
-                return make_not_run(error.code)
+                return make_not_run_outcome(error.code)
             return UNKNOWN_OUTCOME
         return Outcome(OutcomeKind.done, 0, reply.status, reply.content_type, reply.body, target)
 
--- a/troutstand/routing/keeper.py
+++ b/troutstand/routing/keeper.py
@@ -13,7 +13,7 @@
 from troutstand.core.codes import ResultCode
 from troutstand.core.compression import compress, decompress
 from troutstand.core.errors import TroutstandError
-from troutstand.core.succession import FIRST_DISK, form_first_set
+from troutstand.core.membership import INITIAL_DISK_ID, make_initial_set
 from troutstand.daemon.links import ask_oneself
 from troutstand.daemon.registers import RegisterClient
 from troutstand.daemon.storage import Storage, format_folder, read_identity, replace_identity
@@ -90,8 +90,8 @@
     ]
     disk_id = secrets.token_hex(_DISK_ID_BYTES)
     if settings.first_start and process in seeds:
-        disk_id = FIRST_DISK
-        first = StoredKeepers(form_first_set(list(seeds)))
+        disk_id = INITIAL_DISK_ID
+        first = StoredKeepers(make_initial_set(list(seeds)))
         storage.append([first])
         storage.loaded.append(first)
     identity = StoredIdentity(settings.site, process, disk_id)
@@ -108,7 +108,7 @@
         identity, self.storage = open_disk(settings, self.node.process)
         self.acceptor = Acceptor(identity)
         for record in self.storage.loaded:
-            self.acceptor.load(record)
+            self.acceptor.load_record(record)
         self.storage.loaded = []
         self.journal = MendingJournal(self.storage, self.node.events, self._collect_snapshot)
         self.registers = RegisterClient(
@@ -195,7 +195,7 @@
             case VersionsSeen():
                 return self._answer_rollout(self.rollouts.note_versions(message))
             case KeepersAsk():
-                return self.acceptor.describe_keepers()
+                return self.acceptor.report_keepers()
             case KeepersInstall(keepers):
                 return self._install(keepers)
             case CopyAsk():
@@ -221,7 +221,7 @@
     def _describe_newest(self, ask: NewestAsk) -> PeerMessage:
         if self.journal.is_failed:
             return Refused(int(ResultCode.STORAGE_FAILED), "its disk refuses writes")
-        return self.acceptor.describe_newest(ask)
+        return self.acceptor.report_newest(ask)
 
     async def _answer_rollout(self, change: Awaitable[RolloutsTold]) -> PeerMessage:
         try:
@@ -245,7 +245,7 @@
                 self.node.send(process, Learned(record.version, record.content, record.line))
 
     async def _keep(self, record: StoredConfiguration) -> bool:
-        records = self.acceptor.learn_decided(record)
+        records = self.acceptor.install_decided(record)
         if not records:
             return False
         self.node.events.emit(f"{record.line.value}_learned", version=record.version)
@@ -387,7 +387,7 @@
 
     async def become_spare(self) -> None:
         """Begin again as a new disk, once the keeper set no longer names this one."""
-        if not self.acceptor.registers and self.acceptor.identity.disk_id != FIRST_DISK:
+        if not self.acceptor.registers and self.acceptor.identity.disk_id != INITIAL_DISK_ID:
             return
         identity = StoredIdentity(
             self.node.settings.site, self.node.process, secrets.token_hex(_DISK_ID_BYTES)
--- a/troutstand/routing/line.py
+++ b/troutstand/routing/line.py
@@ -10,7 +10,7 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from troutstand.core.acceptor import LinePlace, list_voters, name_line_register
+from troutstand.core.acceptor import LineVersion, list_voters, name_line_register
 from troutstand.core.codes import ResultCode
 from troutstand.core.errors import TroutstandError
 from troutstand.generated.messages import (
@@ -171,7 +171,7 @@
 
         Return whether the version is decided.
         """
-        register = name_line_register(LinePlace(self._line, version))
+        register = name_line_register(LineVersion(self._line, version))
         decision = asyncio.create_task(
             self._registers.read(register)
             if content is None
--- a/troutstand/routing/replacement.py
+++ b/troutstand/routing/replacement.py
@@ -1,6 +1,6 @@
 """Keep the keeper set whole without an operator.
 
-`core/succession.py` says who takes whose place; the keepers' own registers
+`core/membership.py` says who takes whose place; the keepers' own registers
 decide each change, so that rivals and late words do no harm.
 """
 
@@ -12,12 +12,12 @@
 from troutstand.core.acceptor import list_voters
 from troutstand.core.codec import decode_record, encode_record
 from troutstand.core.errors import TroutstandError
-from troutstand.core.succession import (
-    FRESH_S,
-    count_needed,
-    name_keepers,
+from troutstand.core.membership import (
+    CONTACT_MAX_AGE_S,
+    count_copy_quorum,
+    name_keepers_register,
     plan_change,
-    promote,
+    promote_member,
 )
 from troutstand.generated.messages import (
     CopyAsk,
@@ -77,7 +77,7 @@
     def _is_live(self, member: Member, now_s: float) -> bool:
         """Tell whether a member was heard lately with the disk that the set names."""
         known = self._keeper.node.contacts.find(member.process)
-        if known is None or now_s - known.last_heard_s > FRESH_S:
+        if known is None or now_s - known.last_heard_s > CONTACT_MAX_AGE_S:
             return False
         return known.contact.disk_id == member.disk_id
 
@@ -93,7 +93,7 @@
 
     async def _decide(self, wanted: KeeperSet) -> None:
         data = await self._keeper.registers.decide(
-            name_keepers(wanted.epoch), encode_record(wanted)
+            name_keepers_register(wanted.epoch), encode_record(wanted)
         )
         # Another's set may have won this epoch; whichever did is in force.
         decided = decode_record(data, KeeperSet)
@@ -132,7 +132,7 @@
             await self.install(reply.keepers)
 
     async def _copy_and_join(self, keepers: KeeperSet) -> None:
-        needed = count_needed(keepers)
+        needed = count_copy_quorum(keepers)
         voters = sorted(list_voters(keepers))
         copies = [self._copy_from(voter, keepers.epoch) for voter in voters]
         wholes = await asyncio.gather(*copies)
@@ -143,7 +143,7 @@
                 "keeper_copy_waits", have=done, needed=needed, missing=",".join(missing)
             )
             return
-        await self._decide(promote(keepers, self._keeper.node.process))
+        await self._decide(promote_member(keepers, self._keeper.node.process))
 
     async def _copy_from(self, voter: ProcessId, epoch: int) -> bool:
         """Copy all of a voter's state; tell whether it came whole and in this epoch."""
@@ -159,7 +159,7 @@
             if not isinstance(reply, CopyPage):
                 return False
             acceptor = self._keeper.acceptor
-            records = [out for record in reply.records for out in acceptor.merge_copy(record)]
+            records = [out for record in reply.records for out in acceptor.merge_record(record)]
             if records:
                 await self._keeper.journal.write(records)
             if reply.last:
--- a/troutstand/testing/models/command.py
+++ b/troutstand/testing/models/command.py
@@ -31,7 +31,7 @@
     ReadClaim,
     Refuse,
     RegisterUnreachable,
-    make_not_run,
+    make_not_run_outcome,
 )
 from troutstand.core.ids import CommandKey, Incarnation, ProcessId
 from troutstand.generated.messages import Claim, Outcome, OutcomeKind
@@ -39,7 +39,7 @@
 
 _KEY = CommandKey("w/key")
 _DONE = Outcome(OutcomeKind.done, 0, 200)
-_NOT_RUN = make_not_run(ResultCode.TARGET_UNREACHABLE)
+_NOT_RUN = make_not_run_outcome(ResultCode.TARGET_UNREACHABLE)
 Registers = tuple[tuple[str, Claim | Outcome], ...]
 
 
@@ -130,11 +130,11 @@
             Incarnation(str(sending.number)),
             str(sending.number),
             "digest",
-            minted=False,
+            is_key_generated=False,
             last_attempt=self.attempts[sending.number],
         )
         command.attempt, command.state = sending.attempt, sending.state
-        command.sent, command._outcome = sending.sent, sending.outcome
+        command.is_dispatched, command._outcome = sending.sent, sending.outcome
         return copy.copy(command)
 
     def _advance(self, world: World, sending: Sending) -> list[Step[World]]:
@@ -218,7 +218,7 @@
         sending,
         attempt=command.attempt,
         state=command.state,
-        sent=command.sent,
+        sent=command.is_dispatched,
         outcome=command._outcome,
         action=action,
     )
@@ -235,7 +235,7 @@
     if owner.outcome is not None:
         return owner.outcome
     if owner.state is CommandState.ENDED and not owner.sent:
-        return make_not_run(ResultCode.COMMAND_NOT_RUN)
+        return make_not_run_outcome(ResultCode.COMMAND_NOT_RUN)
     return None
 
 
@@ -257,30 +257,30 @@
 class CloseAsNotRun(Command):
     """Say "not run" for an owner that is silent: the guard taken out."""
 
-    def _close(self, outcome: Outcome) -> Action:
-        return super()._close(make_not_run(ResultCode.COMMAND_NOT_RUN))
+    def _close_attempt(self, outcome: Outcome) -> Action:
+        return super()._close_attempt(make_not_run_outcome(ResultCode.COMMAND_NOT_RUN))
 
 
 class DispatchUnclaimed(Command):
     """Dispatch where no majority could be reached: the guard taken out."""
 
-    def _give_up(self) -> Action:
+    def _abandon_claim(self) -> Action:
         self.state = CommandState.DISPATCHING
-        self.sent = True
+        self.is_dispatched = True
         return Dispatch(self.attempt)
 
 
 class TakeOver(Command):
     """Go on to the next attempt although the owner is only silent: the guard taken out."""
 
-    def _close(self, outcome: Outcome) -> Action:
-        return self._take_outcome(make_not_run(ResultCode.COMMAND_NOT_RUN))
+    def _close_attempt(self, outcome: Outcome) -> Action:
+        return self._handle_outcome(make_not_run_outcome(ResultCode.COMMAND_NOT_RUN))
 
 
 class OpenNextAttempt(Command):
     """Open the next attempt unasked once one is closed as not run: the guard taken out."""
 
-    def _take_outcome(self, outcome: Outcome) -> Action:
+    def _handle_outcome(self, outcome: Outcome) -> Action:
         if outcome.kind is OutcomeKind.not_run:
             self.last_attempt = self.attempt + 1
-        return super()._take_outcome(outcome)
+        return super()._handle_outcome(outcome)
--- a/troutstand/testing/models/disks.py
+++ b/troutstand/testing/models/disks.py
@@ -96,7 +96,7 @@
             return None
         acceptor = self.load(world, copier)
         for record in page.records:
-            acceptor.merge_copy(record)
+            acceptor.merge_record(record)
         name = self.names[source]
         after = self.save(world, copier, acceptor)
         after = replace(after, copied_from=after.copied_from | {name})
--- a/troutstand/testing/models/lease.py
+++ b/troutstand/testing/models/lease.py
@@ -20,7 +20,7 @@
 
     holder: str = ""
     until_s: float = 0.0
-    silent_until_s: float = 0.0
+    abstain_until_s: float = 0.0
 
 
 @dataclass(frozen=True)
@@ -117,7 +117,7 @@
         """Let a voter take an ask, however late, and the candidate its answer."""
         voter = LeaseVoter(0.0)
         held = dict(world.voters)[name]
-        voter.silent_until_s = held.silent_until_s
+        voter.abstain_until_s = held.abstain_until_s
         if held.holder:
             voter._votes[_RESOURCE] = _Vote(held.holder, held.holder, held.until_s)
         ask = LeaseAsk(_RESOURCE, candidate, candidate, _LEASE_S * _MILLISECONDS)
@@ -132,13 +132,13 @@
     ) -> World:
         kept = frozenset(c for c in world.counted if (c[0], c[1]) != (candidate, name))
         holder = LeaseHolder(ProcessId(candidate), _LEASE_S, frozenset(), frozenset())
-        holder.count_vote(ProcessId(name), vote, asked_s)
+        holder.record_vote(ProcessId(name), vote, asked_s)
         new = frozenset((candidate, voter, until) for voter, until in holder._votes.items())
         return replace(world, counted=kept | new)
 
     def _restart(self, world: World, name: str) -> Step[World]:
-        silent_until_s = world.now_s + _LEASE_S if self.silence else 0.0
-        blank = Ballot(silent_until_s=silent_until_s)
+        abstain_until_s = world.now_s + _LEASE_S if self.silence else 0.0
+        blank = Ballot(abstain_until_s=abstain_until_s)
         voters = _replace_voter(world, name, blank)
         return Step(f"{name} restarts", replace(world, voters=voters, restarts=world.restarts + 1))
 
@@ -147,7 +147,7 @@
     vote = voter._votes.get(_RESOURCE)
     if vote is None:
         return held
-    return Ballot(vote.holder, vote.until_s, held.silent_until_s)
+    return Ballot(vote.holder, vote.until_s, held.abstain_until_s)
 
 
 def _replace_voter(world: World, name: str, ballot: Ballot) -> tuple[tuple[str, Ballot], ...]:
--- a/troutstand/testing/models/replacement.py
+++ b/troutstand/testing/models/replacement.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, replace
 
 from troutstand.core.ids import RegisterName
-from troutstand.core.succession import promote, replace_member
+from troutstand.core.membership import promote_member, replace_member
 from troutstand.generated.messages import (
     KeeperSet,
     Member,
@@ -25,7 +25,7 @@
 _LOST = "k2"
 _FIRST = KeeperSet(1, [Member(name, f"{name}-old", MemberState.voting) for name in _NAMES])
 _SECOND = replace_member(_FIRST, _LOST, f"{_LOST}-new")
-_THIRD = promote(_SECOND, _LOST)
+_THIRD = promote_member(_SECOND, _LOST)
 _SETS = (_FIRST, _SECOND, _THIRD)
 
 
--- a/troutstand/testing/models/succession.py
+++ b/troutstand/testing/models/succession.py
@@ -14,7 +14,12 @@
 from troutstand.core.acceptor import list_voters
 from troutstand.core.contacts import ContactRegistry
 from troutstand.core.ids import RegisterName
-from troutstand.core.succession import count_needed, form_first_set, plan_change, promote
+from troutstand.core.membership import (
+    count_copy_quorum,
+    make_initial_set,
+    plan_change,
+    promote_member,
+)
 from troutstand.generated.messages import (
     Contact,
     KeeperSet,
@@ -56,9 +61,9 @@
 
 
 def _make_chains() -> tuple[tuple[KeeperSet, ...], ...]:
-    first = form_first_set(list(_NAMES[:3]))
+    first = make_initial_set(list(_NAMES[:3]))
     seconds = [_plan_second(first, gone) for gone in ("k1", "k2")]
-    return tuple((first, second, promote(second, _NAMES[_SPARE])) for second in seconds)
+    return tuple((first, second, promote_member(second, _NAMES[_SPARE])) for second in seconds)
 
 
 _CHAINS = _make_chains()
@@ -135,7 +140,7 @@
         if world.decided_epoch != 2 or copier.epoch != 2:
             return []
         second = _CHAINS[world.chain][1]
-        needed = count_needed(second) if self.needed is None else self.needed
+        needed = count_copy_quorum(second) if self.needed is None else self.needed
         steps = [
             step
             for number in range(_SPARE)
--- a/troutstand/tests/steps/clock.py
+++ b/troutstand/tests/steps/clock.py
@@ -117,7 +117,7 @@
     context.holder = LeaseHolder(own, float(lease_s), voters, frozenset({own}))
     now_s = clock.read_clock_s()
     for voter in (*voters, own):
-        context.holder.count_vote(voter, LeaseVote(True, own, 0), now_s)
+        context.holder.record_vote(voter, LeaseVote(True, own, 0), now_s)
     context.steady_s = clock.read_monotonic_s() - now_s
     assert context.holder.is_held(clock.read_clock_s())
 
--- a/troutstand/tests/steps/compression.py
+++ b/troutstand/tests/steps/compression.py
@@ -62,7 +62,7 @@
     )
     context.content = _make_content(count)
     context.keeper = RoutingKeeper(settings, Dialect())
-    context.keeper.acceptor.load(StoredConfiguration(_VERSION, context.content))
+    context.keeper.acceptor.load_record(StoredConfiguration(_VERSION, context.content))
 
 
 def _ask(context: Context, version: int) -> ContactReply:
--- a/troutstand/tests/steps/succession.py
+++ b/troutstand/tests/steps/succession.py
@@ -7,10 +7,10 @@
 
 from behave import given, then, when
 
-from troutstand.core import succession
+from troutstand.core import membership
 from troutstand.core.contacts import ContactRegistry
 from troutstand.core.errors import TroutstandError
-from troutstand.core.succession import count_needed, form_first_set, plan_change
+from troutstand.core.membership import count_copy_quorum, make_initial_set, plan_change
 from troutstand.generated.messages import (
     Contact,
     KeeperSet,
@@ -47,8 +47,8 @@
 
 
 @given("a set of keepers a, b and c for the loss of {losses:d} disks")
-def form_set(context: Context, losses: int) -> None:
-    context.keepers = form_first_set(["a", "b", "c"])
+def make_set(context: Context, losses: int) -> None:
+    context.keepers = make_initial_set(["a", "b", "c"])
     context.size = 2 * losses + 1
     context.now_s = _NOW_S
     context.watching_since_s = 0.0
@@ -57,7 +57,7 @@
 
 @given("a set of {size:d} keepers")
 def form_sized(context: Context, size: int) -> None:
-    context.keepers = form_first_set([f"k{n}" for n in range(size)])
+    context.keepers = make_initial_set([f"k{n}" for n in range(size)])
 
 
 @when("all are heard")
@@ -161,7 +161,7 @@
 
 @then("a copying disk reads {needed:d} voters")
 def check_needed(context: Context, needed: int) -> None:
-    assert count_needed(context.keepers) == needed
+    assert count_copy_quorum(context.keepers) == needed
 
 
 @given("a contact heard {age_s:d} s ago")
@@ -212,7 +212,7 @@
     replies = [KeepersReply(name, disks[name], known.get(name)) for name in "abc"]
     context.formed, context.refused = None, None
     try:
-        context.formed = succession.form_set(replies)
+        context.formed = membership.make_set(replies)
     except TroutstandError as error:
         context.refused = error
 
--- a/troutstand/tests/steps/trace.py
+++ b/troutstand/tests/steps/trace.py
@@ -13,7 +13,7 @@
 from troutstand.core import command as commands
 from troutstand.core import edit as edits
 from troutstand.core.codes import ResultCode
-from troutstand.core.command import UNKNOWN_OUTCOME, Command, make_not_run
+from troutstand.core.command import UNKNOWN_OUTCOME, Command, make_not_run_outcome
 from troutstand.core.edit import Edit
 from troutstand.core.ids import CommandKey, Incarnation, ProcessId
 from troutstand.core.trace import MessageCame, TraceStep, replay_trace
@@ -33,7 +33,7 @@
 _MOST_LOADS = 4
 _OUTCOMES = {
     "done": Outcome(OutcomeKind.done, 0, 200),
-    "not_run": make_not_run(ResultCode.TARGET_UNREACHABLE),
+    "not_run": make_not_run_outcome(ResultCode.TARGET_UNREACHABLE),
     "unknown": UNKNOWN_OUTCOME,
 }
 
