--- a/troutstand/backends/http.py
+++ b/troutstand/backends/http.py
@@ -15,7 +15,7 @@
 from troutstand.backends.base import Backend, Call, Reply
 from troutstand.core.codes import ResultCode, Run
 from troutstand.core.errors import TroutstandError
-from troutstand.core.notices import LEAVING_HEADER, LIMIT_HEADER, read_notice
+from troutstand.core.notices import LEAVING_HEADER, LIMIT_HEADER, parse_notice
 from troutstand.generated.messages import TargetNotice
 from troutstand.util.clock import read_clock_s
 
@@ -125,7 +125,7 @@
         asked_s = read_clock_s()
         headers = self.make_headers(call)
         async with open_call(self._session, self.row.url, call, headers) as response:
-            notice = read_notice(
+            notice = parse_notice(
                 response.status, response.headers.get, _NOTICE_HEADERS, self.row.name
             )
             self._hear(call.request, notice, asked_s)
--- a/troutstand/core/admissionqueue.py
+++ b/troutstand/core/admissionqueue.py
@@ -5,17 +5,17 @@
 from typing import TYPE_CHECKING
 
 from troutstand.core.codes import ResultCode
-from troutstand.core.crashes import Blame
+from troutstand.core.crashes import Suspicion
 from troutstand.core.decision import Decision, decline_quarantined
 from troutstand.core.scheduling.serviceshares import UNSHARED
 from troutstand.core.siteview import SiteView
-from troutstand.core.targetstate import measure_service
+from troutstand.core.targetstate import clamp_service_s
 from troutstand.generated.messages import Declined
 
 if TYPE_CHECKING:
     import random
 
-    from troutstand.core.crashes import CrashBook
+    from troutstand.core.crashes import CrashTracker
     from troutstand.core.pool import Pool
     from troutstand.core.quota import Quotas
     from troutstand.core.scheduling.options import LoadOptions
@@ -51,7 +51,7 @@
     def __init__(
         self,
         quotas: Quotas,
-        crashes: CrashBook,
+        crashes: CrashTracker,
         options: LoadOptions,
         spread: random.Random | None = None,
     ) -> None:
@@ -80,12 +80,14 @@
         for pool in self.pools.values():
             for waiting in pool.waiting.list_all():
                 work = waiting.work
-                if self.crashes.judge(work.fingerprint, now_s) is Blame.QUARANTINED:
+                if self.crashes.get_suspicion(work.fingerprint, now_s) is Suspicion.QUARANTINED:
                     self._leave_queue(pool, work.request, now_s)
                     self._quarantine(work, waiting.owner, now_s)
 
     def _quarantine(self, work: RoutedWork, owner: str, now_s: float) -> None:
-        declined = decline_quarantined(work.request, self.crashes.explain(work.fingerprint, now_s))
+        declined = decline_quarantined(
+            work.request, self.crashes.describe_quarantine(work.fingerprint, now_s)
+        )
         self._decisions.append(Decision(owner, declined))
 
     def _judge_arrival(self, pool: Pool, waiting: WaitingRequest, now_s: float) -> None:
@@ -147,7 +149,7 @@
 
     def _is_hopeless(self, pool: Pool, waiting: WaitingRequest, now_s: float) -> bool:
         """Tell whether a request's time ends, or its caller leaves, before it could be served."""
-        if now_s + measure_service(pool.hold_s or 0.0) * 0.5 > waiting.deadline_s:
+        if now_s + clamp_service_s(pool.hold_s or 0.0) * 0.5 > waiting.deadline_s:
             return True
         is_left = now_s + waiting.min_first_byte_s > waiting.first_byte_deadline_s
         return self._options.protects_tiers and is_left
--- a/troutstand/core/answer.py
+++ b/troutstand/core/answer.py
@@ -18,7 +18,7 @@
 _FINISH = b'"finish_reason":"'
 _USAGE = b'"usage":{'
 # An engine that numbers its events may send this many ahead of a missing one.
-MAX_AHEAD = 1024
+MAX_REORDERED_EVENTS = 1024
 
 
 @dataclass(frozen=True)
@@ -57,11 +57,11 @@
         self._marker = b'"id":"' + self.answer_id.encode() + b'"'
 
     @property
-    def is_whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Tell whether the answer ended as it should, with nothing missing."""
         return self.is_done and self.is_finished and not self._ahead
 
-    def restart(self) -> None:
+    def resume(self) -> None:
         """Begin to read a resumed stream behind the events already taken."""
         self._rest = b""
         self._ahead.clear()
@@ -100,7 +100,7 @@
         if number <= self.last_number:
             return []
         if number > self.last_number + 1:
-            if len(self._ahead) >= MAX_AHEAD:
+            if len(self._ahead) >= MAX_REORDERED_EVENTS:
                 raise TroutstandError(ResultCode.ANSWER_CUT, f"event {self.last_number + 1} lost")
             self._ahead[number] = block
             return []
--- a/troutstand/core/choice.py
+++ b/troutstand/core/choice.py
@@ -4,14 +4,14 @@
 
 from typing import TYPE_CHECKING
 
-from troutstand.core.reach import Way
+from troutstand.core.reach import Link
 
 if TYPE_CHECKING:
     import random
 
-    from troutstand.core.crashes import CrashBook
+    from troutstand.core.crashes import CrashTracker
     from troutstand.core.pool import Pool
-    from troutstand.core.reach import Reach
+    from troutstand.core.reach import Reachability
     from troutstand.core.scheduling.waitingqueue import WaitingRequest
     from troutstand.core.targetstate import TargetState
     from troutstand.generated.messages import RoutedWork
@@ -26,9 +26,9 @@
 _SETTLED_S = 5.0
 
 
-def find_way(work: RoutedWork, state: TargetState) -> Way:
+def find_way(work: RoutedWork, state: TargetState) -> Link:
     """Return the way that a request goes to a target."""
-    return Way(work.failure_domain, state.listed.failure_domain)
+    return Link(work.failure_domain, state.listed.failure_domain)
 
 
 class TargetChoice:
@@ -41,7 +41,9 @@
         taken.
     """
 
-    def __init__(self, reach: Reach, spread: random.Random | None, crashes: CrashBook) -> None:
+    def __init__(
+        self, reach: Reachability, spread: random.Random | None, crashes: CrashTracker
+    ) -> None:
         self._reach = reach
         self._crashes = crashes
         self._spread = spread
@@ -71,8 +73,8 @@
         return [
             t
             for t in open_
-            if (not t.strikes or now_s - t.lost_s > _SETTLED_S)
-            and self._crashes.suits_trial(run.work.fingerprint for run in t.running.values())
+            if (not t.consecutive_losses or now_s - t.last_loss_s > _SETTLED_S)
+            and self._crashes.may_run_isolated(run.work.fingerprint for run in t.running.values())
         ]
 
     def choose_canary(
@@ -94,7 +96,7 @@
         fitting = [
             t
             for t in canaries
-            if self._may_get(pool, waiting, t, now_s) and not t.report.rest.is_doubted(now_s)
+            if self._may_get(pool, waiting, t, now_s) and not t.report.backoff.is_suspect(now_s)
         ]
         samples = pool.canary.sample_counts
         return min(fitting, key=lambda t: samples.get(t.listed.target, 0), default=None)
@@ -109,7 +111,7 @@
             fitting = [t for t in fitting if t.listed.target not in tried]
         if now_s < pool.doubts_until_s:
             fitting = self._prefer_trusted(pool, waiting, fitting, now_s)
-        sound = [t for t in fitting if not t.is_held_off(now_s)]
+        sound = [t for t in fitting if not t.is_ejected(now_s)]
         has_probes = len(sound) < len(fitting)
         if has_probes and not work.is_repeatable and self._has_sound(pool, work, now_s):
             # A probe may cost it its only try, and a sound target will have a place.
@@ -123,7 +125,7 @@
         return (
             state.has_memory(waiting.work, pool.memory_tokens)
             and self._is_reached(waiting.work, state, now_s)
-            and state.report.judge(waiting.owner, now_s) is None
+            and state.report.get_block_reason(waiting.owner, now_s) is None
         )
 
     def _prefer_trusted(
@@ -137,19 +139,19 @@
         of four recorded days). A try may cost a request its last attempt, so that one
         without another to spend waits for a trusted target.
         """
-        trusted = [t for t in fitting if not t.report.rest.is_doubted(now_s)]
+        trusted = [t for t in fitting if not t.report.backoff.is_suspect(now_s)]
         if trusted:
             return trusted
         work = waiting.work
         if work.attempt >= work.attempts and self._has_trusted(pool, waiting, now_s):
             return []
-        return [t for t in fitting if t.may_try_doubted(now_s)]
+        return [t for t in fitting if t.may_probe_suspect(now_s)]
 
     def _has_trusted(self, pool: Pool, waiting: WaitingRequest, now_s: float) -> bool:
         """Tell whether a target without doubt is left to try, be it busy or not."""
         return any(
-            not t.report.rest.is_doubted(now_s)
-            and t.report.judge(waiting.owner, now_s) is None
+            not t.report.backoff.is_suspect(now_s)
+            and t.report.get_block_reason(waiting.owner, now_s) is None
             and t.listed.target not in waiting.work.excluded
             and self._is_reached(waiting.work, t, now_s)
             for t in pool.list_usable()
@@ -161,7 +163,7 @@
     def _has_sound(self, pool: Pool, work: RoutedWork, now_s: float) -> bool:
         """Tell whether a target without failures is left to try, be it busy or not."""
         return any(
-            not t.strikes
+            not t.consecutive_losses
             and t.listed.target not in work.excluded
             and self._is_reached(work, t, now_s)
             for t in pool.list_usable()
--- a/troutstand/core/crashes.py
+++ b/troutstand/core/crashes.py
@@ -38,7 +38,7 @@
 _SAME_END_S = 1.0
 # Requests alike that may run or wait while they are on trial; one runs at a time. More would
 # fill the queue before sound ones (chosen, not measured).
-MAX_ALIKE = 3
+MAX_ISOLATED = 3
 # The newest ends kept of a request.
 _MAX_ENDS = 8
 _MAX_HISTORIES = 2000
@@ -51,23 +51,23 @@
 _get_time = attrgetter("at_s")
 
 
-class Blame(Enum):
+class Suspicion(Enum):
     """Say how far a request is held to end targets."""
 
     NONE = "none"
     SUSPECTED = "suspected"
-    ON_TRIAL = "on_trial"
+    ISOLATED = "on_trial"
     QUARANTINED = "quarantined"
 
 
 @dataclass(frozen=True)
-class BlameChange:
+class SuspicionChange:
     """Tell, for the log, that a request is blamed more than before, or no longer."""
 
     fingerprint: str
     target: str
-    ends: int
-    blame: Blame
+    crash_count: int
+    suspicion: Suspicion
 
 
 @dataclass(frozen=True)
@@ -106,53 +106,53 @@
     broken: list[_Broken] = field(default_factory=list)
 
 
-class CrashBook:
+class CrashTracker:
     """Hold which requests ran at targets as those ended, by fingerprint."""
 
     def __init__(self) -> None:
         self._ends: OrderedDict[str, list[_End]] = OrderedDict()
         self._recent: dict[str, _Recent] = {}
-        self._changes: list[BlameChange] = []
+        self._changes: list[SuspicionChange] = []
         self._version: str | None = ""
 
     # What is known
 
-    def judge(self, fingerprint: str, now_s: float) -> Blame:
+    def get_suspicion(self, fingerprint: str, now_s: float) -> Suspicion:
         """Return how far a request is blamed."""
         ends = self._ends.get(fingerprint)
         if ends is None:
-            return Blame.NONE
+            return Suspicion.NONE
         if len(ends) >= _QUARANTINE_ENDS:
             is_bound = now_s < _find_release(ends)
-            return Blame.QUARANTINED if is_bound else Blame.ON_TRIAL
+            return Suspicion.QUARANTINED if is_bound else Suspicion.ISOLATED
         if now_s - ends[-1].at_s > _QUARANTINE_S:
             self._forget(fingerprint)
-            return Blame.NONE
-        return Blame.ON_TRIAL if len(ends) >= _TRIAL_ENDS else Blame.SUSPECTED
+            return Suspicion.NONE
+        return Suspicion.ISOLATED if len(ends) >= _TRIAL_ENDS else Suspicion.SUSPECTED
 
-    def is_blamed(self, fingerprint: str) -> bool:
+    def is_suspected(self, fingerprint: str) -> bool:
         """Tell whether a target ended under a request, with no answer to it since."""
         return fingerprint in self._ends
 
-    def suits_trial(self, running: Iterable[str]) -> bool:
+    def may_run_isolated(self, running: Iterable[str]) -> bool:
         """Tell whether a request on trial may run beside others, so that an end tells of it."""
         return not any(fingerprint in self._ends for fingerprint in running)
 
-    def explain(self, fingerprint: str, now_s: float) -> Quarantine:
+    def describe_quarantine(self, fingerprint: str, now_s: float) -> Quarantine:
         """Return why a request is refused that is quarantined, or has others like it on trial."""
         ends = self._ends[fingerprint]
         wait_s = max(_TRIAL_RETRY_S, _find_release(ends) - now_s)
         reason = f"fingerprint={fingerprint} targets_ended={len(ends)}"
         return Quarantine(wait_s, reason, _describe(fingerprint, ends, now_s))
 
-    def take_changes(self) -> list[BlameChange]:
+    def drain_changes(self) -> list[SuspicionChange]:
         """Return the changes since the last call."""
         taken, self._changes = self._changes, []
         return taken
 
     # What happens
 
-    def note_broken(self, fingerprint: str, target: str, run_s: float, now_s: float) -> None:
+    def record_broken(self, fingerprint: str, target: str, run_s: float, now_s: float) -> None:
         """Learn that a target's answer broke off after the request had run for so long."""
         broken = _Broken(fingerprint, now_s - max(0.0, run_s), now_s)
         recent = self._find_recent(target, now_s)
@@ -161,7 +161,7 @@
         else:
             recent.broken.append(broken)
 
-    def note_gone(self, target: str, now_s: float) -> None:
+    def record_target_gone(self, target: str, now_s: float) -> None:
         """Learn that a target's address refuses connections."""
         recent = self._find_recent(target, now_s)
         recent.gone_s = now_s
@@ -169,13 +169,13 @@
             self._count(broken, target)
         recent.broken.clear()
 
-    def note_survived(self, fingerprint: str) -> None:
+    def record_answer(self, fingerprint: str) -> None:
         """Clear a request to which a target gave an answer of its own."""
         ends = self._ends.get(fingerprint)
         if ends is None:
             return
         if len(ends) >= _TRIAL_ENDS:
-            self._changes.append(BlameChange(fingerprint, "", len(ends), Blame.NONE))
+            self._changes.append(SuspicionChange(fingerprint, "", len(ends), Suspicion.NONE))
         self._forget(fingerprint)
 
     def _find_recent(self, target: str, now_s: float) -> _Recent:
@@ -201,8 +201,8 @@
         self._ends.move_to_end(broken.fingerprint)
         self._bound_size()
         self._version = None
-        blame = self.judge(broken.fingerprint, broken.at_s)
-        self._changes.append(BlameChange(broken.fingerprint, target, len(ends), blame))
+        blame = self.get_suspicion(broken.fingerprint, broken.at_s)
+        self._changes.append(SuspicionChange(broken.fingerprint, target, len(ends), blame))
 
     def _bound_size(self) -> None:
         if len(self._ends) <= _MAX_HISTORIES:
@@ -232,7 +232,7 @@
         """Return what others must know."""
         return [_describe(f, ends, now_s) for f, ends in self._list_told()]
 
-    def inherit(self, histories: Iterable[CrashHistory], now_s: float) -> None:
+    def merge(self, histories: Iterable[CrashHistory], now_s: float) -> None:
         """Add what another process knows."""
         for history in histories:
             if not history.crashes:
@@ -248,11 +248,11 @@
             self._bound_size()
             self._version = None
 
-    def follow(self, histories: Iterable[CrashHistory], now_s: float) -> None:
+    def replace(self, histories: Iterable[CrashHistory], now_s: float) -> None:
         """Know what the decider knows, and nothing else."""
         self._ends.clear()
         self._version = None
-        self.inherit(histories, now_s)
+        self.merge(histories, now_s)
 
 
 def _find_release(ends: list[_End]) -> float:
--- a/troutstand/core/dispatch.py
+++ b/troutstand/core/dispatch.py
@@ -11,16 +11,16 @@
 from troutstand.core.admissionqueue import AdmissionQueue
 from troutstand.core.choice import TargetChoice, find_way
 from troutstand.core.codes import ResultCode
-from troutstand.core.crashes import MAX_ALIKE, Blame, CrashBook
+from troutstand.core.crashes import MAX_ISOLATED, Suspicion, CrashTracker
 from troutstand.core.decision import Decision, PlacedInputs
 from troutstand.core.pool import Pool
 from troutstand.core.quota import Judgement, Verdict
-from troutstand.core.reach import Reach
+from troutstand.core.reach import Reachability
 from troutstand.core.rollouts.admission import Admission
 from troutstand.core.scheduling.options import LoadOptions
 from troutstand.core.scheduling.serviceshares import DEFAULT_WEIGHT, UNSHARED
 from troutstand.core.scheduling.waitingqueue import WaitingRequest
-from troutstand.core.targetstate import Running, TargetState
+from troutstand.core.targetstate import RunningRequest, TargetState
 from troutstand.generated.messages import Ending, Placed
 
 if TYPE_CHECKING:
@@ -63,14 +63,14 @@
         quotas: Quotas,
         retries: RetryBudget,
         spread: random.Random | None = None,
-        crashes: CrashBook | None = None,
+        crashes: CrashTracker | None = None,
         options: LoadOptions | None = None,
     ) -> None:
         options = options or LoadOptions()
-        super().__init__(quotas, CrashBook() if crashes is None else crashes, options, spread)
+        super().__init__(quotas, CrashTracker() if crashes is None else crashes, options, spread)
         self.retries = retries
         self._weights: dict[str, float] = {}
-        self.reach = Reach()
+        self.reach = Reachability()
         self._choice = TargetChoice(self.reach, spread, self.crashes)
 
     def count_waiting(self) -> int:
@@ -156,11 +156,11 @@
         of 158 sound requests were answered; with this 3 ended and 158 of 158 were (real
         processes, `crashers.feature`).
         """
-        match self.crashes.judge(work.fingerprint, now_s):
-            case Blame.QUARANTINED:
+        match self.crashes.get_suspicion(work.fingerprint, now_s):
+            case Suspicion.QUARANTINED:
                 return True
-            case Blame.ON_TRIAL:
-                return pool.count_alike(work) >= MAX_ALIKE
+            case Suspicion.ISOLATED:
+                return pool.count_alike(work) >= MAX_ISOLATED
             case _:
                 return False
 
@@ -177,22 +177,22 @@
         for pool in self.pools.values():
             state = pool.targets.get(first.target)
             run = state.running.get(first.request) if state else None
-            if state is not None and run is not None and not run.has_first:
-                state.note_first(run, now_s)
-                self.reach.note_sign(find_way(run.work, state))
+            if state is not None and run is not None and not run.has_first_byte:
+                state.record_first_byte(run, now_s)
+                self.reach.record_reachable(find_way(run.work, state))
                 if run.work.prompt_tokens and first.first_s >= 0.0:
-                    state.learn_reading(run, first.first_s, pool.know_reading(state))
+                    state.record_prefill(run, first.first_s, pool.know_reading(state))
                     pool.forget_typical()
-                state.remember(run.work.model, run.work.parts)
+                state.add_cached_parts(run.work.model, run.work.parts)
                 # It has less to read now, and suits some that would not have it before.
                 self._serve_from(pool, state, now_s)
 
     def end(self, ended: Ended, now_s: float) -> None:
         """Free a request's slot and learn from how it ended."""
         if ended.ending is Ending.broken and ended.fingerprint:
-            self.crashes.note_broken(ended.fingerprint, ended.target, ended.total_s, now_s)
+            self.crashes.record_broken(ended.fingerprint, ended.target, ended.total_s, now_s)
         if ended.is_target_gone:
-            self.crashes.note_gone(ended.target, now_s)
+            self.crashes.record_target_gone(ended.target, now_s)
             self._refuse_quarantined(now_s)
         for pool in self.pools.values():
             state = pool.targets.get(ended.target)
@@ -201,7 +201,7 @@
             run = state.finish(ended.request)
             if run is not None:
                 is_kept = ended.ending in (Ending.whole, Ending.failed)
-                state.note_released(run.owner, is_kept, now_s)
+                state.record_release(run.owner, is_kept, now_s)
                 self._learn_ending(pool, state, run, ended, now_s)
             self._serve_from(pool, state, now_s)
 
@@ -212,33 +212,33 @@
                 pool.update_tiers(now_s)
             pool.shares.prune_idle(now_s)
             for state in pool.targets.values():
-                if now_s >= state.blocked_until_s or state.is_probed():
+                if now_s >= state.blocked_until_s or state.is_probing():
                     self._judge_silence(state, now_s)
             self._serve_next(pool, now_s)
             self._judge_waiting(pool, now_s)
 
     def _judge_silence(self, state: TargetState, now_s: float) -> None:
         """Hold a target off that owes a first byte for long."""
-        run = state.find_silence(now_s)
+        run = state.find_overdue(now_s)
         if run is not None:
-            state.note_lost(run, now_s)
-            self.reach.note_unreached(find_way(run.work, state), state.listed.target, now_s)
+            state.record_loss(run, now_s)
+            self.reach.record_unreachable(find_way(run.work, state), state.listed.target, now_s)
 
     # Choosing
 
     def _learn_ending(
-        self, pool: Pool, state: TargetState, run: Running, ended: Ended, now_s: float
+        self, pool: Pool, state: TargetState, run: RunningRequest, ended: Ended, now_s: float
     ) -> None:
-        self.reach.note_ending(find_way(run.work, state), ended, now_s)
+        self.reach.record_ending(find_way(run.work, state), ended, now_s)
         if pool.canary.order is not None:
             typical = pool.estimate_typical(run)
             pool.canary.record_ended(run, ended, state.listed.version, typical, now_s)
         if ended.ending in (Ending.whole, Ending.failed):
-            self.crashes.note_survived(run.work.fingerprint)
-            state.report.note_answer(run.started_s)
+            self.crashes.record_answer(run.work.fingerprint)
+            state.report.record_answer(run.started_s)
         match ended.ending:
             case Ending.whole:
-                state.note_whole(now_s)
+                state.record_success(now_s)
                 if ended.total_s < 0.0:
                     # Nothing was measured, since the gateway's host was suspended.
                     return
@@ -248,17 +248,17 @@
                 pool.forget_typical()
                 if run.work.prompt_tokens and ended.produced_events > 1:
                     decode_s = ended.total_s - max(0.0, ended.first_s)
-                    state.token_s.learn(decode_s / (ended.produced_events * pool.stride))
+                    state.token_s.add_sample(decode_s / (ended.produced_events * pool.stride))
                 elif not run.work.prompt_tokens:
-                    state.service_s.learn(ended.total_s)
+                    state.service_s.add_sample(ended.total_s)
             case Ending.failed:
-                state.note_fault(now_s)
+                state.record_fault(now_s)
             case Ending.broken | Ending.silent | Ending.unsent:
-                state.note_lost(run, now_s)
+                state.record_loss(run, now_s)
             case Ending.turned_away:
-                state.note_turned_away(now_s)
+                state.record_rejection(now_s)
                 pool.doubts_until_s = max(
-                    pool.doubts_until_s, now_s + state.report.rest.doubt(now_s)
+                    pool.doubts_until_s, now_s + state.report.backoff.suspect(now_s)
                 )
             case Ending.left | Ending.kept_back:
                 pass
@@ -336,15 +336,15 @@
             if self._options.protects_tiers and pool.is_kept_for_higher(waiting.work.tier, now_s):
                 # The rank puts higher tiers first, so that nobody behind it has one.
                 return
-            blame = self.crashes.judge(waiting.work.fingerprint, now_s)
+            blame = self.crashes.get_suspicion(waiting.work.fingerprint, now_s)
             suitable = open_
-            if blame is Blame.ON_TRIAL:
+            if blame is Suspicion.ISOLATED:
                 suitable = self._choice.list_trial(pool, waiting.work, open_, now_s)
                 if not suitable:
                     # It waits for its trial, and those behind it need not.
                     continue
             sample = None
-            if blame is Blame.NONE:
+            if blame is Suspicion.NONE:
                 sample = self._choice.choose_canary(pool, waiting, canaries, now_s)
             if sample is not None:
                 self._start(pool, sample, waiting, len(canaries), now_s)
@@ -375,12 +375,12 @@
         pool.shares.advance_virtual_time(work.tier, waiting.share)
         expected_s = pool.estimate_first(state, work)
         uncached = state.count_uncached(work)
-        ahead = state.backlog
+        ahead = state.backlog_tokens
         inputs = PlacedInputs(
             expected_first_s=expected_s,
             running=len(state.running),
             uncached=uncached,
-            last_sign_s=now_s - state.last_sign_s,
+            last_sign_s=now_s - state.last_response_s,
             open_targets=open_targets,
             workspace=work.workspace,
             charge=work.charge,
@@ -388,11 +388,13 @@
             token_s=pool.know_token(state),
             limit_per_s=state.report.limit_per_s,
         )
-        run = Running(work, waiting.owner, now_s, uncached, expected_s, ahead, share=waiting.share)
+        run = RunningRequest(
+            work, waiting.owner, now_s, uncached, expected_s, ahead, share=waiting.share
+        )
         state.start(run)
-        state.report.note_sent(now_s)
-        state.note_connection(waiting.owner, now_s)
-        self.reach.note_sent(find_way(work, state), now_s)
+        state.report.record_sent(now_s)
+        state.record_connection(waiting.owner, now_s)
+        self.reach.record_sent(find_way(work, state), now_s)
         if work.attempt == 1:
             is_sampled = pool.canary.is_canary(state.listed.version)
             pool.canary.record_placed(work.route, state.listed.target, is_sampled)
--- a/troutstand/core/domainview.py
+++ b/troutstand/core/domainview.py
@@ -78,7 +78,7 @@
     def _is_limited(self, ask: PlacementAsk) -> bool:
         """Tell whether all usable targets name a limit of requests a second."""
         usable = self._list_usable(ask)
-        return bool(usable) and all(target.report.pace is not None for target in usable)
+        return bool(usable) and all(target.report.rate_limiter is not None for target in usable)
 
     def _find_rank(self, ask: PlacementAsk) -> int:
         tier = self._tiers.get(ask.tier)
--- a/troutstand/core/estimate.py
+++ b/troutstand/core/estimate.py
@@ -102,9 +102,9 @@
 
     def count_free(self, now_s: float) -> int:
         """Return how many requests may be granted now."""
-        if self.is_leaving or self.report.judge(_ANY_PROCESS, now_s) is not None:
+        if self.is_leaving or self.report.get_block_reason(_ANY_PROCESS, now_s) is not None:
             return 0
-        return min(self._count_free_slots(now_s), self.report.count_room(now_s))
+        return min(self._count_free_slots(now_s), self.report.count_permits(now_s))
 
     def _count_free_slots(self, now_s: float) -> int:
         if self.health is Health.TRUSTED:
@@ -141,14 +141,14 @@
         if self.health is Health.SUSPECT:
             self.health = Health.PROBING
         self.running[request] = run
-        self.report.note_sent(run.granted_s)
+        self.report.record_sent(run.granted_s)
         self.cache.insert(prefixes)
 
     def finish(self, done: Finished, now_s: float) -> Running | None:
         """Note a request's end and learn from it."""
         run = self.running.pop(RequestId(done.request), None)
         if run is not None and done.ok:
-            self.report.note_answer(run.granted_s)
+            self.report.record_answer(run.granted_s)
         if done.fault or done.is_target_gone:
             self._distrust(now_s)
         elif done.ok:
@@ -159,7 +159,7 @@
     @property
     def rests_until_s(self) -> float:
         """Return until when the target wants nothing, in seconds."""
-        return self.report.rest.find_end(_ANY_PROCESS)
+        return self.report.backoff.get_end_s(_ANY_PROCESS)
 
     def take_notice(self, notice: TargetNotice, now_s: float) -> bool:
         """Take what the target said of itself; tell whether it is news.
@@ -171,7 +171,7 @@
         """
         if notice.is_leaving:
             self._said_leaving_s = now_s
-        return self.report.take(_ANY_PROCESS, notice, now_s)
+        return self.report.apply_notice(_ANY_PROCESS, notice, now_s)
 
     def recheck_leaving(self, now_s: float) -> None:
         """Take a target back that said long ago that it leaves, and is still there."""
--- a/troutstand/core/fingerprint.py
+++ b/troutstand/core/fingerprint.py
@@ -8,7 +8,7 @@
 _DIGEST_BYTES = 8
 
 
-def take_fingerprint(workspace: str, method: str, host: str, path: str, body: bytes) -> str:
+def compute_fingerprint(workspace: str, method: str, host: str, path: str, body: bytes) -> str:
     """Return what is the same for all requests of a caller with one path and body.
 
     Parameters
--- a/troutstand/core/lives.py
+++ b/troutstand/core/lives.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 
-def is_same_life(known_ms: int, told_ms: int) -> bool:
+def is_same_incarnation(known_ms: int, told_ms: int) -> bool:
     """Tell whether two times of start may be of one life; 0 is not told.
 
     They are compared only: the target's time of day may have jumped.
--- a/troutstand/core/noticebook.py
+++ b/troutstand/core/noticebook.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from troutstand.core.lives import is_same_life
-from troutstand.core.selfreport import KeptBack, SelfReport
+from troutstand.core.lives import is_same_incarnation
+from troutstand.core.selfreport import BlockReason, SelfReport
 from troutstand.generated.messages import ListedState, TargetNotice
 
 if TYPE_CHECKING:
@@ -35,7 +35,7 @@
     confirmed_s: float | None = None
 
 
-class NoticeBook:
+class NoticeStore:
     """Hold what targets said to a gateway, for whoever decides.
 
     The decider knows the same, but it may have just taken over, or decide by a message that
@@ -46,7 +46,7 @@
     def __init__(self) -> None:
         self._known: OrderedDict[str, _Known] = OrderedDict()
 
-    def note(self, notice: TargetNotice, asked_s: float, now_s: float) -> bool:
+    def record(self, notice: TargetNotice, asked_s: float, now_s: float) -> bool:
         """Take what the answer to a request said; tell whether it is news.
 
         Parameters
@@ -56,7 +56,7 @@
         """
         known = self._find(notice.target, notice.born_ms)
         says_limit = notice.limit_per_s is not None
-        is_ended = known is not None and not says_limit and known.report.end_limit(asked_s)
+        is_ended = known is not None and not says_limit and known.report.clear_stale_limit(asked_s)
         if not notice.is_leaving and notice.rest_s <= 0.0 and not says_limit:
             return is_ended
         if known is None:
@@ -64,26 +64,26 @@
         self._known.move_to_end(notice.target)
         while len(self._known) > _MAX_KNOWN:
             self._known.popitem(last=False)
-        return known.report.take(_OWN, notice, now_s) or is_ended
+        return known.report.apply_notice(_OWN, notice, now_s) or is_ended
 
-    def judge(self, target: str, born_ms: int, now_s: float) -> KeptBack | None:
+    def get_block_reason(self, target: str, born_ms: int, now_s: float) -> BlockReason | None:
         """Return why nothing may be sent to a target now, or None."""
         known = self._find(target, born_ms)
-        return None if known is None else known.report.judge(_OWN, now_s)
+        return None if known is None else known.report.get_block_reason(_OWN, now_s)
 
     def _find(self, target: str, born_ms: int) -> _Known | None:
         """Return what is known of a target's present life."""
         known = self._known.get(target)
         if known is None:
             return None
-        return known if is_same_life(known.born_ms, born_ms) else None
+        return known if is_same_incarnation(known.born_ms, born_ms) else None
 
-    def describe(self, target: str, now_s: float) -> TargetNotice:
+    def build_notice(self, target: str, now_s: float) -> TargetNotice:
         """Return what a decider is told of a target."""
         known = self._known.get(target) or _Known(0)
-        return known.report.describe(target, known.born_ms, _OWN, now_s)
+        return known.report.build_notice(target, known.born_ms, _OWN, now_s)
 
-    def note_back(self, target: str) -> None:
+    def clear_leaving(self, target: str) -> None:
         """Note that whoever decides gives a target work again, though it said that it leaves."""
         known = self._known.get(target)
         if known is not None:
@@ -92,21 +92,21 @@
     def list_notices(self, now_s: float) -> list[TargetNotice]:
         """Return all that still binds, for a decider that does not know it."""
         return [
-            self.describe(target, now_s)
+            self.build_notice(target, now_s)
             for target, known in self._known.items()
-            if known.report.is_binding(_OWN, now_s)
+            if known.report.has_restrictions(_OWN, now_s)
         ]
 
-    def follow_list(self, listed: Iterable[ListedTarget], now_s: float) -> None:
+    def prune(self, listed: Iterable[ListedTarget], now_s: float) -> None:
         """Forget what binds no more, and targets that are long gone or back in service."""
         states = {entry.target: entry.state for entry in listed}
         for target, known in list(self._known.items()):
             if known.report.is_leaving:
                 is_over = _is_leaving_over(known, states.get(target), now_s)
             else:
-                is_over = not known.report.is_binding(_OWN, now_s) or (
+                is_over = not known.report.has_restrictions(_OWN, now_s) or (
                     # Its end, or its return under another name, lets nothing be told of it.
-                    target not in states and known.report.judge(_OWN, now_s) is None
+                    target not in states and known.report.get_block_reason(_OWN, now_s) is None
                 )
             if is_over:
                 del self._known[target]
--- a/troutstand/core/notices.py
+++ b/troutstand/core/notices.py
@@ -11,7 +11,7 @@
 from http import HTTPStatus
 from typing import TYPE_CHECKING, Protocol
 
-from troutstand.core.retryafter import read_retry_after
+from troutstand.core.retryafter import parse_retry_after
 from troutstand.generated.messages import TargetNotice
 
 if TYPE_CHECKING:
@@ -25,7 +25,7 @@
 _DECIMAL = re.compile(r"\d+(\.\d*)?|\.\d+")
 
 
-class NoticeNames(Protocol):
+class NoticeHeaders(Protocol):
     """Name the headers in which a target speaks of itself, in lower case."""
 
     @property
@@ -44,10 +44,10 @@
         ...
 
 
-def read_notice(
+def parse_notice(
     status: int,
     get_header: Callable[[str], str | None],
-    names: NoticeNames,
+    names: NoticeHeaders,
     target: str = "",
     born_ms: int = 0,
 ) -> TargetNotice:
@@ -76,7 +76,7 @@
     is_refusal = status == HTTPStatus.SERVICE_UNAVAILABLE or (
         status == HTTPStatus.TOO_MANY_REQUESTS and is_not_run
     )
-    return read_retry_after(get_header("retry-after")) if is_refusal else 0.0
+    return parse_retry_after(get_header("retry-after")) if is_refusal else 0.0
 
 
 def _read_limit(text: str | None) -> float | None:
--- a/troutstand/core/pace.py
+++ b/troutstand/core/pace.py
@@ -20,7 +20,7 @@
 
 
 @dataclass
-class Pace:
+class RateLimiter:
     """Hold one holder's share of a target's limit; times in seconds.
 
     It begins without room: what others sent before is not known here, and a decider that has
@@ -42,7 +42,7 @@
     limit_per_s: float
     share: float
     at_s: float
-    room: float = 0.0
+    permits: float = 0.0
     # Since when a request might be sent, where that may not be saved up.
     _full_s: float | None = None
 
@@ -52,30 +52,30 @@
         return max(self.limit_per_s, _LEAST_RATE_PER_S) * self.share
 
     @property
-    def is_shared_widely(self) -> bool:
+    def is_widely_shared(self) -> bool:
         """Tell whether so many hold the limit that none may save its part."""
         return self.share * _MOST_SAVING < 1.0
 
-    def change(self, limit_per_s: float, share: float, now_s: float) -> None:
+    def update(self, limit_per_s: float, share: float, now_s: float) -> None:
         """Go by another limit, or another share of it, from now on."""
         self._advance(now_s)
         self.limit_per_s, self.share = limit_per_s, share
-        self.room = min(self.room, self._find_burst())
+        self.permits = min(self.permits, self._find_burst())
 
-    def has_room(self, now_s: float) -> bool:
+    def has_permit(self, now_s: float) -> bool:
         """Tell whether a request may be sent now."""
         self._advance(now_s)
-        return self.room >= 1.0 - _ROUNDING
+        return self.permits >= 1.0 - _ROUNDING
 
-    def count_room(self, now_s: float) -> int:
+    def count_permits(self, now_s: float) -> int:
         """Return how many requests may be sent now."""
         self._advance(now_s)
-        return int(self.room + _ROUNDING)
+        return int(self.permits + _ROUNDING)
 
-    def take(self, now_s: float) -> None:
+    def acquire(self, now_s: float) -> None:
         """Count a request that is sent now."""
         self._advance(now_s)
-        self.room = max(0.0, self.room - 1.0)
+        self.permits = max(0.0, self.permits - 1.0)
         self._full_s = None
 
     def _find_burst(self) -> float:
@@ -84,10 +84,10 @@
     def _advance(self, now_s: float) -> None:
         passed_s = max(0.0, now_s - self.at_s)
         self.at_s = max(self.at_s, now_s)
-        self.room = min(self._find_burst(), self.room + passed_s * self.rate_per_s)
-        if not self.is_shared_widely or self.room < 1.0:
+        self.permits = min(self._find_burst(), self.permits + passed_s * self.rate_per_s)
+        if not self.is_widely_shared or self.permits < 1.0:
             return
         if self._full_s is None:
             self._full_s = now_s
         elif now_s - self._full_s > _KEPT_TURNS / max(self.limit_per_s, _LEAST_RATE_PER_S):
-            self.room, self._full_s = 0.0, None
+            self.permits, self._full_s = 0.0, None
--- a/troutstand/core/pool.py
+++ b/troutstand/core/pool.py
@@ -18,15 +18,15 @@
 )
 from troutstand.core.scheduling.serviceshares import ServiceShares
 from troutstand.core.scheduling.waitingqueue import WaitingQueue, get_shed_tier
-from troutstand.core.speed import ReadingSpeed
+from troutstand.core.speed import PrefillSpeed
 
 if TYPE_CHECKING:
     from troutstand.core.scheduling.waitingqueue import WaitingRequest
-    from troutstand.core.targetstate import Running, TargetState
+    from troutstand.core.targetstate import RunningRequest, TargetState
     from troutstand.generated.messages import RoutedWork
 
 # Guesses until something was measured, in seconds.
-_GUESS_READING = ReadingSpeed(constant_s=3e-2, per_token_s=2e-5)
+_GUESS_READING = PrefillSpeed(constant_s=3e-2, per_token_s=2e-5)
 _GUESS_TOKEN_S = 8e-3
 _GUESS_SERVICE_S = 3e-2
 _GUESS_HOLD_S = 0.3
@@ -64,7 +64,7 @@
 _MOST_KEPT_SHARE = 0.5
 
 
-_get_lost = attrgetter("lost_s")
+_get_lost = attrgetter("last_loss_s")
 
 
 @dataclass
@@ -83,7 +83,7 @@
     # medians until something is learnt the decider took 1.00 to 1.07 of a core at 1,248
     # requests/s and 78 targets, with it 0.78 to 0.92 (`benchmarks/dispatching.py`, busy
     # machine).
-    _typical_reading: ReadingSpeed | None = None
+    _typical_reading: PrefillSpeed | None = None
     # Which targets take new work: several steps of each decision ask for them.
     _usable: list[TargetState] | None = None
     # The place in the queue from which the next tick looks.
@@ -133,26 +133,28 @@
 
     def _list_probes(self, usable: list[TargetState], now_s: float) -> list[TargetState]:
         """Return as many as are held off beyond the share, the oldest last loss first."""
-        held = [target for target in usable if target.is_held_off(now_s)]
+        held = [target for target in usable if target.is_ejected(now_s)]
         excess = len(held) - int(_MOST_HELD_SHARE * len(usable))
         if excess <= 0:
             return []
-        excess -= sum(target.is_probed() for target in held)
+        excess -= sum(target.is_probing() for target in held)
         ready = [target for target in held if target.may_probe(now_s)]
         return sorted(ready, key=_get_lost)[: max(0, excess)]
 
     def _list_sound(self, now_s: float) -> list[TargetState]:
         """Return the targets that are expected to answer what they are sent."""
-        sound = [t for t in self.list_usable() if not t.strikes]
+        sound = [t for t in self.list_usable() if not t.consecutive_losses]
         if now_s >= self.doubts_until_s:
             return sound
-        return [t for t in sound if not t.report.rest.is_wanted(now_s)]
+        return [t for t in sound if not t.report.backoff.is_requested(now_s)]
 
     def measure_rest(self, gateway: str, now_s: float) -> float:
         """Return the seconds until a gateway may send to any target; 0 where it may now."""
         if now_s >= self.doubts_until_s:
             return 0.0
-        ends_s = min((t.report.rest.find_end(gateway) for t in self.list_usable()), default=now_s)
+        ends_s = min(
+            (t.report.backoff.get_end_s(gateway) for t in self.list_usable()), default=now_s
+        )
         return max(0.0, ends_s - now_s)
 
     def measure_turn(self, now_s: float) -> float:
@@ -172,7 +174,7 @@
     def is_limited(self, now_s: float) -> bool:
         """Tell whether all targets that are expected to answer name a limit."""
         sound = self._list_sound(now_s)
-        return bool(sound) and all(t.report.pace is not None for t in sound)
+        return bool(sound) and all(t.report.rate_limiter is not None for t in sound)
 
     def estimate_late_wait(self, waiting: WaitingRequest, ahead: int, turn_s: float) -> float:
         """Return the seconds until a late request gets a slot.
@@ -190,7 +192,7 @@
         """Return the seconds until a target's first byte for a request."""
         if not work.prompt_tokens:
             return self._know(state, "service_s", _GUESS_SERVICE_S)
-        return self.know_reading(state).estimate(state.count_uncached(work) + state.backlog)
+        return self.know_reading(state).estimate(state.count_uncached(work) + state.backlog_tokens)
 
     def know_token(self, state: TargetState) -> float:
         """Return the seconds that a target takes for a token of an answer."""
@@ -218,7 +220,7 @@
             first_risk = estimate_miss_risk(first_s, waiting.due_s - now_s)
             return PlacementEstimate(first_s, first_s * busy, first_risk)
         reading = self.know_reading(state)
-        to_read = state.count_uncached(work) + state.backlog
+        to_read = state.count_uncached(work) + state.backlog_tokens
         first_s = reading.estimate(to_read)
         token_s = self.know_token(state)
         held_s = token_s * max(1, work.output_tokens)
@@ -229,24 +231,24 @@
         between_events = min(to_read, float(self.stride * _READ_AT_ONCE_TOKENS))
         pause_s = event_s + reading.per_token_s * between_events
         others = sum(
-            count * estimate_miss_risk(pause_s, limit_s) for limit_s, count in state.pauses.items()
+            count * estimate_miss_risk(pause_s, limit_s) for limit_s, count in state.pause_counts.items()
         )
         first_risk = estimate_miss_risk(first_s, waiting.due_s - now_s)
         return PlacementEstimate(first_s, held_s, first_risk, min(1.0, rest_risk), others)
 
-    def know_reading(self, state: TargetState) -> ReadingSpeed:
+    def know_reading(self, state: TargetState) -> PrefillSpeed:
         """Return how fast a target reads prompts, or what its like show, or a guess."""
-        if state.reading is not None:
-            return state.reading.speed
+        if state.prefill is not None:
+            return state.prefill.speed
         if self._typical_reading is None:
             self._typical_reading = self._find_typical_reading()
         return self._typical_reading
 
-    def _find_typical_reading(self) -> ReadingSpeed:
-        known = [t.reading.speed for t in self._list_models() if t.reading is not None]
+    def _find_typical_reading(self) -> PrefillSpeed:
+        known = [t.prefill.speed for t in self._list_models() if t.prefill is not None]
         if not known:
             return _GUESS_READING
-        return ReadingSpeed(
+        return PrefillSpeed(
             median(speed.constant_s for speed in known),
             median(speed.per_token_s for speed in known),
         )
@@ -262,7 +264,7 @@
             return first_s
         return first_s + work.output_tokens * self._know_typical("token_s", _GUESS_TOKEN_S)
 
-    def estimate_typical(self, run: Running) -> TypicalTimes:
+    def estimate_typical(self, run: RunningRequest) -> TypicalTimes:
         """Return what a typical target of the version in force needs for a request."""
         if not run.work.prompt_tokens:
             return TypicalTimes(self._know_typical("service_s", _GUESS_SERVICE_S))
@@ -292,7 +294,9 @@
     def describe_busy(self, now_s: float) -> BusyTargets:
         """Describe the targets that have no free slot, as whoever waits for one sees them."""
         # The place of a target that names a limit does not come with the end of a request.
-        busy = [t for t in self._list_sound(now_s) if not t.free_slots and not t.report.pace]
+        busy = [
+            t for t in self._list_sound(now_s) if not t.free_slots and not t.report.rate_limiter
+        ]
         slots = sum(t.listed.slots for t in busy)
         hold_s = self.hold_s or _GUESS_HOLD_S
         return BusyTargets(
@@ -341,7 +345,7 @@
             return service_s, service_s
         reading = self.know_reading(state)
         uncached = state.count_uncached(work)
-        return reading.estimate(uncached + state.backlog), reading.estimate(uncached)
+        return reading.estimate(uncached + state.backlog_tokens), reading.estimate(uncached)
 
     def count_alike(self, work: RoutedWork) -> int:
         """Return how many requests with the same fingerprint run or wait."""
@@ -396,7 +400,11 @@
         if self.waiting:
             return False
         usable = self.list_usable()
-        trusted = [t for t in usable if not t.report.rest.is_doubted(now_s) and not t.report.pace]
+        trusted = [
+            t
+            for t in usable
+            if not t.report.backoff.is_suspect(now_s) and not t.report.rate_limiter
+        ]
         slots = sum(t.listed.slots for t in trusted)
         free = sum(t.free_slots for t in trusted if t.is_open(now_s))
         return free > _SPARE_SHARE * slots
--- a/troutstand/core/prefix.py
+++ b/troutstand/core/prefix.py
@@ -12,7 +12,7 @@
 
 import xxhash
 
-CHARACTERS_A_TOKEN = 4
+CHARACTERS_PER_TOKEN = 4
 BLOCK_TOKENS = 64
 MAX_BLOCKS = 32
 
@@ -27,7 +27,7 @@
 
 def count_tokens(text: str) -> int:
     """Estimate the tokens of a text."""
-    return max(1, len(text) // CHARACTERS_A_TOKEN)
+    return max(1, len(text) // CHARACTERS_PER_TOKEN)
 
 
 def _choose_block_tokens(tokens: int) -> int:
@@ -40,7 +40,7 @@
 def hash_prefixes(model: str, text: str) -> Prefixes:
     """Hash each block together with all before it."""
     width = _choose_block_tokens(count_tokens(text))
-    step = width * CHARACTERS_A_TOKEN
+    step = width * CHARACTERS_PER_TOKEN
     hasher = xxhash.xxh3_64(f"{len(model)}:{model}".encode())
     blocks: list[bytes] = []
     for start in range(0, len(text) - step + 1, step):
--- a/troutstand/core/reach.py
+++ b/troutstand/core/reach.py
@@ -27,7 +27,7 @@
 ANY = "*"
 
 
-class Way(NamedTuple):
+class Link(NamedTuple):
     """Name the way from a gateway's failure domain to a target's, or to all others."""
 
     source: str
@@ -35,28 +35,28 @@
 
 
 @dataclass
-class WayState:
+class LinkState:
     """Follow one way; times in seconds."""
 
     failed: dict[str, float] = field(default_factory=dict)
     blocked_until_s: float = float("-inf")
 
     @property
-    def is_held(self) -> bool:
+    def is_blocked(self) -> bool:
         """Tell whether the way was held off since the last answer."""
         return self.blocked_until_s > float("-inf")
 
 
 @dataclass(frozen=True)
-class WayChange:
+class LinkChange:
     """Tell that a way is held off, or open again, for the log."""
 
-    way: Way
+    link: Link
     is_open: bool
     targets: tuple[str, ...] = ()
 
 
-class Reach:
+class Reachability:
     """Hold off targets that gateways of a failure domain cannot reach.
 
     Without it a failure domain that is cut off finds each target of the others out by
@@ -65,68 +65,68 @@
     """
 
     def __init__(self) -> None:
-        self._ways: dict[Way, WayState] = {}
-        self._changes: list[WayChange] = []
+        self._ways: dict[Link, LinkState] = {}
+        self._changes: list[LinkChange] = []
 
-    def take_changes(self) -> list[WayChange]:
+    def drain_changes(self) -> list[LinkChange]:
         """Return the ways held off or opened since the last call."""
         taken, self._changes = self._changes, []
         return taken
 
-    def note_ending(self, way: Way, ended: Ended, now_s: float) -> None:
+    def record_ending(self, way: Link, ended: Ended, now_s: float) -> None:
         """Take what the end of a request tells of its way."""
         if ended.is_target_gone:
             # A refused connection comes from the target's own host. Taken for a way that is
             # cut, the ends of five engines closed ways 12 times in 7 s (from the logs).
-            self.note_sign(way)
+            self.record_reachable(way)
         elif ended.ending in _UNREACHED:
-            self.note_unreached(way, ended.target, now_s)
+            self.record_unreachable(way, ended.target, now_s)
         elif ended.ending in _REACHED:
-            self.note_sign(way)
+            self.record_reachable(way)
 
-    def note_sign(self, way: Way) -> None:
+    def record_reachable(self, way: Link) -> None:
         """Take any answer that came by a way as a sign that it is open."""
         if not self._ways or way.source == way.destination:
             return
         for known in (way, _find_any(way)):
             state = self._ways.pop(known, None)
-            if state is not None and state.is_held:
-                self._changes.append(WayChange(known, is_open=True))
+            if state is not None and state.is_blocked:
+                self._changes.append(LinkChange(known, is_open=True))
 
-    def note_unreached(self, way: Way, target: str, now_s: float) -> None:
+    def record_unreachable(self, way: Link, target: str, now_s: float) -> None:
         """Note a target that could not be reached, or from which nothing came."""
         if way.source == way.destination:
             return
         for known in (way, _find_any(way)):
             self._note_failed(known, target, now_s)
 
-    def _note_failed(self, way: Way, target: str, now_s: float) -> None:
-        state = self._ways.setdefault(way, WayState())
+    def _note_failed(self, way: Link, target: str, now_s: float) -> None:
+        state = self._ways.setdefault(way, LinkState())
         state.failed = {t: at_s for t, at_s in state.failed.items() if now_s - at_s < _TOGETHER_S}
         state.failed[target] = now_s
-        if not state.is_held and len(state.failed) < _MIN_TARGETS:
+        if not state.is_blocked and len(state.failed) < _MIN_TARGETS:
             return
-        if not state.is_held:
-            self._changes.append(WayChange(way, is_open=False, targets=tuple(state.failed)))
+        if not state.is_blocked:
+            self._changes.append(LinkChange(way, is_open=False, targets=tuple(state.failed)))
         state.blocked_until_s = now_s + _HOLD_S
 
-    def is_open(self, way: Way, now_s: float) -> bool:
+    def is_open(self, way: Link, now_s: float) -> bool:
         """Tell whether requests may go a way."""
         if not self._ways or way.source == way.destination:
             return True
         states = (self._ways.get(way), self._ways.get(_find_any(way)))
         return all(state is None or now_s >= state.blocked_until_s for state in states)
 
-    def note_sent(self, way: Way, now_s: float) -> None:
+    def record_sent(self, way: Link, now_s: float) -> None:
         """Let one request alone try a way that was held off."""
         if not self._ways or way.source == way.destination:
             return
         for known in (way, _find_any(way)):
             state = self._ways.get(known)
-            if state is not None and state.is_held:
+            if state is not None and state.is_blocked:
                 state.blocked_until_s = now_s + _HOLD_S
 
 
-def _find_any(way: Way) -> Way:
+def _find_any(way: Link) -> Link:
     """Return the way from the same source to all others, which its own cut closes."""
-    return Way(way.source, ANY)
+    return Link(way.source, ANY)
--- a/troutstand/core/rest.py
+++ b/troutstand/core/rest.py
@@ -16,7 +16,7 @@
 
 
 @dataclass
-class Rest:
+class Backoff:
     """Hold the rests that one target asked for; times in seconds.
 
     A rest binds the gateway that was asked. For the others it is a doubt: they prefer
@@ -30,16 +30,16 @@
     _doubted_until_s: float = _NEVER_S
     _next_doubt_s: float = _FIRST_DOUBT_S
 
-    def ask(self, gateway: str, rest_s: float, now_s: float) -> None:
+    def start(self, gateway: str, rest_s: float, now_s: float) -> None:
         """Note that a gateway was asked for so many seconds of rest."""
-        ends_s = max(self.find_end(gateway), now_s + rest_s)
+        ends_s = max(self.get_end_s(gateway), now_s + rest_s)
         self._until_s = {g: until_s for g, until_s in self._until_s.items() if until_s > now_s}
         self._until_s[gateway] = ends_s
         self._asked_s = now_s
         self._wanted_until_s = max(self._wanted_until_s, ends_s)
         self._doubted_until_s = max(self._doubted_until_s, ends_s)
 
-    def doubt(self, now_s: float) -> float:
+    def suspect(self, now_s: float) -> float:
         """Note that the target turned a request away; return the seconds of doubt."""
         doubt_s = self._next_doubt_s
         self._next_doubt_s = min(_MAX_DOUBT_S, 2.0 * doubt_s)
@@ -47,33 +47,33 @@
         self._doubted_until_s = max(self._doubted_until_s, now_s + doubt_s)
         return doubt_s
 
-    def find_end(self, gateway: str) -> float:
+    def get_end_s(self, gateway: str) -> float:
         """Return until when a gateway must send nothing."""
         return self._until_s.get(gateway, _NEVER_S)
 
-    def binds(self, gateway: str, now_s: float) -> bool:
+    def is_active(self, gateway: str, now_s: float) -> bool:
         """Tell whether a gateway must send nothing now."""
-        return now_s < self.find_end(gateway)
+        return now_s < self.get_end_s(gateway)
 
-    def is_doubted(self, now_s: float) -> bool:
+    def is_suspect(self, now_s: float) -> bool:
         """Tell whether the target may turn other gateways away as well."""
         return now_s < self._doubted_until_s
 
-    def is_wanted(self, now_s: float) -> bool:
+    def is_requested(self, now_s: float) -> bool:
         """Tell whether the target asked any gateway for rest and answered none since."""
         return now_s < self._wanted_until_s
 
-    def is_since(self, started_s: float) -> bool:
+    def is_after_last(self, started_s: float) -> bool:
         """Tell whether a request was sent after the last rest was asked for."""
         return started_s > self._asked_s
 
-    def may_try(self, now_s: float) -> bool:
+    def may_probe(self, now_s: float) -> bool:
         """Tell whether a doubted target may be tried with a request now."""
         return now_s - self._asked_s >= _TRY_AFTER_S
 
-    def note_answer(self, started_s: float) -> None:
+    def record_answer(self, started_s: float) -> None:
         """Drop the doubt where a request that was sent after it got an answer."""
-        if self.is_since(started_s):
+        if self.is_after_last(started_s):
             self._wanted_until_s = _NEVER_S
             self._doubted_until_s = _NEVER_S
             self._next_doubt_s = _FIRST_DOUBT_S
--- a/troutstand/core/rollouts/canary.py
+++ b/troutstand/core/rollouts/canary.py
@@ -20,7 +20,7 @@
     from collections.abc import Iterable
 
     from troutstand.core.rollouts.admission import Admission
-    from troutstand.core.targetstate import Running
+    from troutstand.core.targetstate import RunningRequest
     from troutstand.generated.messages import Ended, RolloutOrder
 
 # Answers that take so many times what is typical count as slow. Half of the first bytes
@@ -153,7 +153,7 @@
         return evaluate(self.outcomes, now_s)
 
     def record_ended(
-        self, run: Running, ended: Ended, version: str, typical: TypicalTimes, now_s: float
+        self, run: RunningRequest, ended: Ended, version: str, typical: TypicalTimes, now_s: float
     ) -> None:
         """Count how a request ended at a target of some version."""
         is_bad = ended.ending in _BAD_ENDINGS
--- a/troutstand/core/scheduler.py
+++ b/troutstand/core/scheduler.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING
 
 from troutstand.core.codes import ResultCode
-from troutstand.core.crashes import MAX_ALIKE, Blame, CrashBook
+from troutstand.core.crashes import MAX_ISOLATED, Suspicion, CrashTracker
 from troutstand.core.estimate import Health
 from troutstand.core.fairqueue import FairQueue, WaitingRequest
 from troutstand.core.ids import RequestId
@@ -66,7 +66,7 @@
         policy: PolicyName = PolicyName.EARLIEST_FINISH,
     ) -> None:
         super().__init__(failure_domain, seed)
-        self.crashes = CrashBook()
+        self.crashes = CrashTracker()
         self._waiting_limit = waiting_limit
         self._policy = Policy(policy, seed)
         self._grants_from_s = started_s + REPORT_WAIT_S
@@ -108,17 +108,17 @@
         """Record whether the target crashed; shed waiting requests that are now quarantined."""
         fingerprint, target = finished.fingerprint, finished.target
         if finished.ok and fingerprint:
-            self.crashes.note_survived(fingerprint)
+            self.crashes.record_answer(fingerprint)
         if finished.is_broken_off and fingerprint:
             run_s = finished.total_ms / _MS_PER_S
-            self.crashes.note_broken(fingerprint, target, run_s, now_s)
+            self.crashes.record_broken(fingerprint, target, run_s, now_s)
         if not finished.is_target_gone:
             return []
-        self.crashes.note_gone(target, now_s)
+        self.crashes.record_target_gone(target, now_s)
         refused = [
             waiting
             for waiting in self._waiting.values()
-            if self.crashes.judge(waiting.ask.fingerprint, now_s) is Blame.QUARANTINED
+            if self.crashes.get_suspicion(waiting.ask.fingerprint, now_s) is Suspicion.QUARANTINED
         ]
         for waiting in refused:
             self._dequeue(waiting)
@@ -135,7 +135,7 @@
             )
             target.start(RequestId(item.ask.request), run, _get_prefixes(item.ask))
             self._note_run(run, 1)
-        self.crashes.inherit(report.crashes, now_s)
+        self.crashes.merge(report.crashes, now_s)
         return self._apply_notices(report.notices, now_s)
 
     def apply_notices(self, notices: TargetNotices, now_s: float) -> list[Send]:
@@ -219,13 +219,13 @@
         A suspect is isolated: a limited number of requests with its fingerprint are admitted
         at once.
         """
-        match self.crashes.judge(ask.fingerprint, now_s):
-            case Blame.QUARANTINED:
+        match self.crashes.get_suspicion(ask.fingerprint, now_s):
+            case Suspicion.QUARANTINED:
                 return True
-            case Blame.ON_TRIAL:
+            case Suspicion.ISOLATED:
                 waiting = (item.ask.fingerprint for item in self._waiting.values())
                 alike = [*waiting, *self._list_running_fingerprints()].count(ask.fingerprint)
-                return alike >= MAX_ALIKE
+                return alike >= MAX_ISOLATED
             case _:
                 return False
 
@@ -235,7 +235,7 @@
         return [run.ask.fingerprint for run in runs]
 
     def _quarantine(self, waiting: WaitingRequest, now_s: float) -> Send:
-        quarantine = self.crashes.explain(waiting.ask.fingerprint, now_s)
+        quarantine = self.crashes.describe_quarantine(waiting.ask.fingerprint, now_s)
         shed = Shed(
             waiting.ask.request,
             int(ResultCode.REQUEST_QUARANTINED),
@@ -294,7 +294,7 @@
         a higher tier can still overtake them.
         """
         free = [t for t in self._list_usable(waiting.ask) if t.count_free(now_s) > 0]
-        if self.crashes.judge(waiting.ask.fingerprint, now_s) is Blame.ON_TRIAL:
+        if self.crashes.get_suspicion(waiting.ask.fingerprint, now_s) is Suspicion.ISOLATED:
             free = self._list_isolation_targets(waiting.ask, free)
         if not free:
             return None
@@ -315,7 +315,9 @@
             target
             for target in free
             if target.health is Health.TRUSTED
-            and self.crashes.suits_trial(run.ask.fingerprint for run in target.running.values())
+            and self.crashes.may_run_isolated(
+                run.ask.fingerprint for run in target.running.values()
+            )
         ]
 
     def _grant(self, waiting: WaitingRequest, choice: Choice, weight: float, now_s: float) -> Send:
--- a/troutstand/core/scheduling/placementestimate.py
+++ b/troutstand/core/scheduling/placementestimate.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from troutstand.core.speed import ReadingSpeed
+    from troutstand.core.speed import PrefillSpeed
 
 # The risk of missing a limit rises linearly from 0 to 1 between these ratios of the expected
 # time to the limit.
@@ -20,7 +20,7 @@
 
     count: int
     slot_interval_s: float
-    reading: ReadingSpeed
+    reading: PrefillSpeed
     service_s: float
 
 
--- a/troutstand/core/seenspeeds.py
+++ b/troutstand/core/seenspeeds.py
@@ -5,7 +5,7 @@
 from collections import OrderedDict
 from dataclasses import dataclass, field
 
-from troutstand.core.speed import ReadingSums, Speed
+from troutstand.core.speed import PrefillSums, MovingAverage
 from troutstand.generated.messages import TargetSpeed
 
 # What was seen longer ago than this is not passed on, in seconds (chosen, not measured).
@@ -16,33 +16,33 @@
 
 
 @dataclass
-class SeenSpeed:
+class ObservedSpeed:
     """Hold what one process saw of one target."""
 
     service: str
     # When the target says that it began; 0 is not told.
     born_ms: int = 0
-    seen_s: float = 0.0
-    reading: ReadingSums = field(default_factory=ReadingSums)
-    token_s: Speed = field(default_factory=Speed)
-    service_s: Speed = field(default_factory=Speed)
+    last_seen_s: float = 0.0
+    prefill: PrefillSums = field(default_factory=PrefillSums)
+    token_s: MovingAverage = field(default_factory=MovingAverage)
+    service_s: MovingAverage = field(default_factory=MovingAverage)
 
 
-class SeenSpeeds:
+class ObservedSpeeds:
     """Hold what a gateway saw of the targets that it sent requests to."""
 
     def __init__(self) -> None:
-        self._seen: OrderedDict[str, SeenSpeed] = OrderedDict()
+        self._seen: OrderedDict[str, ObservedSpeed] = OrderedDict()
 
-    def _touch(self, service: str, target: str, born_ms: int, now_s: float) -> SeenSpeed:
+    def _touch(self, service: str, target: str, born_ms: int, now_s: float) -> ObservedSpeed:
         seen = self._seen.get(target)
         if seen is None or seen.born_ms != born_ms:
-            seen = self._seen[target] = SeenSpeed(service, born_ms)
-        seen.seen_s = now_s
+            seen = self._seen[target] = ObservedSpeed(service, born_ms)
+        seen.last_seen_s = now_s
         self._seen.move_to_end(target)
         return seen
 
-    def note_first(
+    def record_first_byte(
         self,
         service: str,
         target: str,
@@ -53,34 +53,34 @@
     ) -> None:
         """Note a first byte, and the prompt tokens that the target read until then."""
         seen = self._touch(service, target, born_ms, now_s)
-        seen.reading.scale(_KEPT_WEIGHT)
-        seen.reading.add(tokens, first_s)
+        seen.prefill.scale(_KEPT_WEIGHT)
+        seen.prefill.add(tokens, first_s)
 
-    def note_token(
+    def record_token_time(
         self, service: str, target: str, born_ms: int, token_s: float, now_s: float
     ) -> None:
         """Note the seconds between two tokens of a whole answer."""
-        self._touch(service, target, born_ms, now_s).token_s.learn(token_s)
+        self._touch(service, target, born_ms, now_s).token_s.add_sample(token_s)
 
-    def note_service(
+    def record_service_time(
         self, service: str, target: str, born_ms: int, total_s: float, now_s: float
     ) -> None:
         """Note the seconds that a target took for a whole answer without a prompt."""
-        self._touch(service, target, born_ms, now_s).service_s.learn(total_s)
+        self._touch(service, target, born_ms, now_s).service_s.add_sample(total_s)
 
-    def list_fresh(self, now_s: float) -> list[TargetSpeed]:
+    def list_recent(self, now_s: float) -> list[TargetSpeed]:
         """Return what was seen lately, the latest first; forget what is old."""
-        while self._seen and now_s - next(iter(self._seen.values())).seen_s > _FRESH_S:
+        while self._seen and now_s - next(iter(self._seen.values())).last_seen_s > _FRESH_S:
             self._seen.popitem(last=False)
         latest = list(reversed(self._seen.items()))[:_MOST_TARGETS]
         return [_export(target, seen) for target, seen in latest]
 
 
-def _export(target: str, seen: SeenSpeed) -> TargetSpeed:
+def _export(target: str, seen: ObservedSpeed) -> TargetSpeed:
     return TargetSpeed(
         service=seen.service,
         target=target,
-        reading=seen.reading.list_values() if seen.reading.weight else [],
+        reading=seen.prefill.to_list() if seen.prefill.weight else [],
         token_s=seen.token_s.value or 0.0,
         token_samples=seen.token_s.samples,
         service_s=seen.service_s.value or 0.0,
--- a/troutstand/core/selfreport.py
+++ b/troutstand/core/selfreport.py
@@ -11,8 +11,8 @@
 from enum import Enum
 from typing import TYPE_CHECKING
 
-from troutstand.core.pace import Pace
-from troutstand.core.rest import Rest
+from troutstand.core.pace import RateLimiter
+from troutstand.core.rest import Backoff
 from troutstand.generated.messages import TargetNotice
 
 if TYPE_CHECKING:
@@ -21,10 +21,10 @@
 _NEVER_S = float("-inf")
 
 
-class KeptBack(Enum):
+class BlockReason(Enum):
     """Say why nothing may be sent to a target."""
 
-    RESTING = "resting"
+    BACKOFF = "resting"
     LEAVING = "leaving"
 
 
@@ -41,8 +41,8 @@
         at the start.
     """
 
-    part: float = 1.0
-    draws: random.Random | None = None
+    fraction: float = 1.0
+    rng: random.Random | None = None
 
 
 @dataclass
@@ -50,41 +50,41 @@
     """Hold what one life of a target said of itself; times in seconds."""
 
     is_leaving: bool = False
-    rest: Rest = field(default_factory=Rest)
-    pace: Pace | None = None
+    backoff: Backoff = field(default_factory=Backoff)
+    rate_limiter: RateLimiter | None = None
     # When an answer last named the limit.
     _named_s: float = _NEVER_S
 
     # What answers say
 
-    def take(
+    def apply_notice(
         self, gateway: str, notice: TargetNotice, now_s: float, share: LimitShare | None = None
     ) -> bool:
         """Take what an answer to a gateway said; tell whether it is news."""
         is_news = notice.is_leaving and not self.is_leaving
         self.is_leaving = self.is_leaving or notice.is_leaving
         if notice.rest_s > 0.0:
-            self.rest.ask(gateway, notice.rest_s, now_s)
+            self.backoff.start(gateway, notice.rest_s, now_s)
             is_news = True
         if notice.limit_per_s is not None:
             return self._name_limit(notice.limit_per_s, share or LimitShare(), now_s) or is_news
         if notice.asked_age_s is not None:
-            return self.end_limit(now_s - notice.asked_age_s) or is_news
+            return self.clear_stale_limit(now_s - notice.asked_age_s) or is_news
         return is_news
 
     def _name_limit(self, limit_per_s: float, share: LimitShare, now_s: float) -> bool:
         """Keep to a limit; tell whether it is another than before."""
         self._named_s = now_s
-        if self.pace is None:
-            self.pace = Pace(limit_per_s, share.part, now_s)
-            if self.pace.is_shared_widely and share.draws is not None:
-                self.pace.room = share.draws.random()
+        if self.rate_limiter is None:
+            self.rate_limiter = RateLimiter(limit_per_s, share.fraction, now_s)
+            if self.rate_limiter.is_widely_shared and share.rng is not None:
+                self.rate_limiter.permits = share.rng.random()
             return True
-        is_changed = limit_per_s != self.pace.limit_per_s
-        self.pace.change(limit_per_s, share.part, now_s)
+        is_changed = limit_per_s != self.rate_limiter.limit_per_s
+        self.rate_limiter.update(limit_per_s, share.fraction, now_s)
         return is_changed
 
-    def note_answer(self, asked_s: float) -> bool:
+    def record_answer(self, asked_s: float) -> bool:
         """Take an answer that named neither rest nor limit; tell whether a limit ended by it.
 
         Parameters
@@ -93,23 +93,23 @@
             When its request was sent: one that was sent before the target last spoke of
             itself tells nothing.
         """
-        self.rest.note_answer(asked_s)
-        return self.end_limit(asked_s)
+        self.backoff.record_answer(asked_s)
+        return self.clear_stale_limit(asked_s)
 
-    def end_limit(self, asked_s: float) -> bool:
+    def clear_stale_limit(self, asked_s: float) -> bool:
         """End the limit where a request sent after it was named got an answer without it."""
-        if self.pace is None or asked_s <= self._named_s:
+        if self.rate_limiter is None or asked_s <= self._named_s:
             return False
-        self.pace = None
+        self.rate_limiter = None
         return True
 
     # What it allows
 
-    def judge(self, gateway: str, now_s: float) -> KeptBack | None:
+    def get_block_reason(self, gateway: str, now_s: float) -> BlockReason | None:
         """Return why a gateway may send nothing now, or None."""
         if self.is_leaving:
-            return KeptBack.LEAVING
-        return KeptBack.RESTING if self.rest.binds(gateway, now_s) else None
+            return BlockReason.LEAVING
+        return BlockReason.BACKOFF if self.backoff.is_active(gateway, now_s) else None
 
     def may_send(self, now_s: float) -> bool:
         """Tell whether the limit leaves room for a request now.
@@ -118,44 +118,44 @@
         probes and resumed streams alike. Two engines that named 1.7 and 1.9 a second got 3.3
         and 3.2 before (33 and 32 requests in 10 s of a recorded day).
         """
-        return self.pace is None or self.pace.has_room(now_s)
+        return self.rate_limiter is None or self.rate_limiter.has_permit(now_s)
 
-    def count_room(self, now_s: float) -> int:
+    def count_permits(self, now_s: float) -> int:
         """Return how many requests the limit leaves room for now."""
-        return sys.maxsize if self.pace is None else self.pace.count_room(now_s)
+        return sys.maxsize if self.rate_limiter is None else self.rate_limiter.count_permits(now_s)
 
-    def note_sent(self, now_s: float) -> None:
+    def record_sent(self, now_s: float) -> None:
         """Count a request that the target is given."""
-        if self.pace is not None:
-            self.pace.take(now_s)
+        if self.rate_limiter is not None:
+            self.rate_limiter.acquire(now_s)
 
     @property
     def limit_per_s(self) -> float | None:
         """Return the limit that holds, in requests a second over all gateways."""
-        return None if self.pace is None else self.pace.limit_per_s
+        return None if self.rate_limiter is None else self.rate_limiter.limit_per_s
 
     @property
     def rate_per_s(self) -> float:
         """Return how many requests a second may be sent from here; infinite without a limit."""
-        return float("inf") if self.pace is None else self.pace.rate_per_s
+        return float("inf") if self.rate_limiter is None else self.rate_limiter.rate_per_s
 
     # Handing over
 
-    def use_share(self, share: LimitShare, now_s: float) -> None:
+    def set_share(self, share: LimitShare, now_s: float) -> None:
         """Spend another share of the limit from now on."""
-        if self.pace is not None:
-            self.pace.change(self.pace.limit_per_s, share.part, now_s)
+        if self.rate_limiter is not None:
+            self.rate_limiter.update(self.rate_limiter.limit_per_s, share.fraction, now_s)
 
-    def is_binding(self, gateway: str, now_s: float) -> bool:
+    def has_restrictions(self, gateway: str, now_s: float) -> bool:
         """Tell whether whoever decides next must know anything of it."""
-        return self.judge(gateway, now_s) is not None or self.pace is not None
+        return self.get_block_reason(gateway, now_s) is not None or self.rate_limiter is not None
 
-    def describe(self, target: str, born_ms: int, gateway: str, now_s: float) -> TargetNotice:
+    def build_notice(self, target: str, born_ms: int, gateway: str, now_s: float) -> TargetNotice:
         """Return what a decider is told of the target."""
         return TargetNotice(
             target,
             born_ms,
             self.is_leaving,
-            max(0.0, self.rest.find_end(gateway) - now_s),
+            max(0.0, self.backoff.get_end_s(gateway) - now_s),
             self.limit_per_s,
         )
--- a/troutstand/core/shedding.py
+++ b/troutstand/core/shedding.py
@@ -193,7 +193,7 @@
     Slots of rate-limited targets do not turn over with each request and would make the
     estimated wait too short.
     """
-    unlimited = sum(target.row.slots for target in pool if target.report.pace is None)
+    unlimited = sum(target.row.slots for target in pool if target.report.rate_limiter is None)
     return unlimited or sum(target.row.slots for target in pool)
 
 
--- a/troutstand/core/siteview.py
+++ b/troutstand/core/siteview.py
@@ -8,11 +8,11 @@
 
 import msgspec
 
-from troutstand.core.lives import is_same_life
+from troutstand.core.lives import is_same_incarnation
 from troutstand.core.pool import Pool
 from troutstand.core.rollouts.canary import RolloutView
 from troutstand.core.selfreport import LimitShare, SelfReport
-from troutstand.core.targetstate import Running, TargetState
+from troutstand.core.targetstate import RunningRequest, TargetState
 from troutstand.generated.messages import Hold, ListedState
 
 if TYPE_CHECKING:
@@ -46,7 +46,7 @@
     def __init__(self, spread: random.Random | None = None) -> None:
         self.pools: dict[str, Pool] = {}
         self._rollouts = RolloutView()
-        self._limit_share = LimitShare(draws=spread)
+        self._limit_share = LimitShare(rng=spread)
         # What targets said of themselves that the list shows no more.
         self._unlisted: OrderedDict[_Life, SelfReport] = OrderedDict()
 
@@ -75,7 +75,7 @@
             held = pool.targets.get(entry.target)
             if held is None:
                 pool.targets[entry.target] = self._begin_target(entry, now_s)
-            elif is_same_life(held.listed.born_ms, entry.born_ms):
+            elif is_same_incarnation(held.listed.born_ms, entry.born_ms):
                 held.is_listed_leaving = False
                 born_ms = entry.born_ms or held.listed.born_ms
                 was_draining = held.listed.state is ListedState.draining
@@ -84,7 +84,7 @@
                     held.report.is_leaving = False
                 held.listed = msgspec.structs.replace(entry, born_ms=born_ms)
             elif not (is_from_peer and entry.born_ms < held.listed.born_ms):
-                pool.targets[entry.target] = TargetState(entry, last_sign_s=now_s)
+                pool.targets[entry.target] = TargetState(entry, last_response_s=now_s)
         for service, pool in self.pools.items():
             for target in [t for t in pool.targets if (service, t) not in seen]:
                 self._note_unlisted(pool.targets.pop(target))
@@ -93,7 +93,7 @@
     def _begin_target(self, entry: ListedTarget, now_s: float) -> TargetState:
         """Return what is known of a target that the list did not show."""
         report = self._unlisted.pop(_Life(entry.target, entry.born_ms), None)
-        return TargetState(entry, last_sign_s=now_s, report=report or SelfReport())
+        return TargetState(entry, last_response_s=now_s, report=report or SelfReport())
 
     def _note_unlisted(self, state: TargetState) -> None:
         """Keep what a target said of itself, for the case that a list lacks it once.
@@ -108,12 +108,12 @@
 
     def use_limit_share(self, part: float, now_s: float) -> None:
         """Spend another part of the limits that targets name from now on."""
-        if part == self._limit_share.part:
+        if part == self._limit_share.fraction:
             return
-        self._limit_share.part = part
+        self._limit_share.fraction = part
         for pool in self.pools.values():
             for state in pool.targets.values():
-                state.report.use_share(self._limit_share, now_s)
+                state.report.set_share(self._limit_share, now_s)
 
     def use_rollouts(self, view: RolloutView) -> None:
         """Take what is known of rollouts."""
@@ -159,10 +159,10 @@
 
     def _note_notice(self, pool: Pool, gateway: str, notice: TargetNotice, now_s: float) -> bool:
         state = pool.targets[notice.target]
-        if not is_same_life(state.listed.born_ms, notice.born_ms):
+        if not is_same_incarnation(state.listed.born_ms, notice.born_ms):
             return False
         was_leaving = state.report.is_leaving
-        is_news = state.report.take(gateway, notice, now_s, self._limit_share)
+        is_news = state.report.apply_notice(gateway, notice, now_s, self._limit_share)
         if state.report.is_leaving and not was_leaving:
             pool.admit_versions()
         pool.doubts_until_s = max(pool.doubts_until_s, now_s + notice.rest_s)
@@ -175,16 +175,16 @@
         state = pool.targets.get(placed.target)
         if state is None or work.request in state.running:
             return
-        if not is_same_life(state.listed.born_ms, placed.born_ms):
+        if not is_same_incarnation(state.listed.born_ms, placed.born_ms):
             return
-        run = Running(
+        run = RunningRequest(
             work,
             owner,
             now_s - placed.elapsed_s,
             # A prompt that is not read yet holds up those that come after it.
             uncached_tokens=0.0 if placed.has_first else state.count_uncached(work),
             expected_first_s=placed.elapsed_s + pool.estimate_first(state, work),
-            has_first=placed.has_first,
+            has_first_byte=placed.has_first,
         )
         state.start(run)
 
@@ -208,6 +208,6 @@
         for seen in speeds:
             pool = self.pools.setdefault(seen.service, Pool())
             state = pool.targets.get(seen.target)
-            if state is not None and is_same_life(state.listed.born_ms, seen.born_ms):
-                state.inherit_speed(seen, pool.know_reading(state))
+            if state is not None and is_same_incarnation(state.listed.born_ms, seen.born_ms):
+                state.merge_speed(seen, pool.know_reading(state))
                 pool.forget_typical()
--- a/troutstand/core/speed.py
+++ b/troutstand/core/speed.py
@@ -18,13 +18,13 @@
 
 
 @dataclass
-class Speed:
+class MovingAverage:
     """Hold a learnt speed; nothing learnt yet is None."""
 
     value: float | None = None
     samples: int = 0
 
-    def learn(self, sample: float) -> None:
+    def add_sample(self, sample: float) -> None:
         """Move towards a sample."""
         self.samples += 1
         self.value = sample if self.value is None else self.value + _EWMA * (sample - self.value)
@@ -39,7 +39,7 @@
 
 
 @dataclass
-class ReadingSums:
+class PrefillSums:
     """Sum first bytes up, so that a line can be fitted to them and sums be added."""
 
     weight: float = 0.0
@@ -50,9 +50,9 @@
 
     def add(self, tokens: float, seconds: float) -> None:
         """Add one first byte."""
-        self.merge(ReadingSums(1.0, tokens, seconds, tokens * tokens, tokens * seconds))
+        self.merge(PrefillSums(1.0, tokens, seconds, tokens * tokens, tokens * seconds))
 
-    def merge(self, other: ReadingSums) -> None:
+    def merge(self, other: PrefillSums) -> None:
         """Add the sums of others."""
         self.weight += other.weight
         self.tokens += other.tokens
@@ -68,13 +68,13 @@
         self.tokens_squared *= share
         self.product *= share
 
-    def list_values(self) -> list[float]:
+    def to_list(self) -> list[float]:
         """Return the sums in the order of the fields."""
         return [self.weight, self.tokens, self.seconds, self.tokens_squared, self.product]
 
 
 @dataclass(frozen=True)
-class ReadingSpeed:
+class PrefillSpeed:
     """Tell how long a first byte takes: a constant, and more for each prompt token to read."""
 
     constant_s: float
@@ -86,7 +86,7 @@
 
 
 @dataclass
-class ReadingFit:
+class PrefillFit:
     """Fit a reading speed to a target's first bytes by least squares, newer ones first.
 
     Parameters
@@ -95,16 +95,16 @@
         What is believed before the first sample.
     """
 
-    prior: ReadingSpeed
-    speed: ReadingSpeed = field(init=False)
-    _sums: ReadingSums = field(init=False, default_factory=ReadingSums)
+    prior: PrefillSpeed
+    speed: PrefillSpeed = field(init=False)
+    _sums: PrefillSums = field(init=False, default_factory=PrefillSums)
 
     def __post_init__(self) -> None:
         self.speed = self.prior
         for tokens in (0.0, _PRIOR_TOKENS):
             self._sums.add(tokens, self.prior.estimate(tokens))
 
-    def learn(self, tokens: float, seconds: float) -> None:
+    def add_sample(self, tokens: float, seconds: float) -> None:
         """Take the time of one first byte.
 
         Parameters
@@ -118,14 +118,14 @@
         self._sums.add(tokens, seconds)
         self.speed = self._solve()
 
-    def merge(self, sums: ReadingSums) -> None:
+    def merge(self, sums: PrefillSums) -> None:
         """Take in the first bytes that others saw."""
         self._sums.merge(sums)
         if self._sums.weight > _MOST_WEIGHT:
             self._sums.scale(_MOST_WEIGHT / self._sums.weight)
         self.speed = self._solve()
 
-    def _solve(self) -> ReadingSpeed:
+    def _solve(self) -> PrefillSpeed:
         sums = self._sums
         mean_tokens = sums.tokens / sums.weight
         mean_s = sums.seconds / sums.weight
@@ -133,4 +133,4 @@
         covariance = sums.product / sums.weight - mean_tokens * mean_s
         slope_s = covariance / variance if variance > 1.0 else self.prior.per_token_s
         slope_s = max(slope_s, _MIN_SLOPE_SHARE * self.prior.per_token_s)
-        return ReadingSpeed(max(_MIN_CONSTANT_S, mean_s - slope_s * mean_tokens), slope_s)
+        return PrefillSpeed(max(_MIN_CONSTANT_S, mean_s - slope_s * mean_tokens), slope_s)
--- a/troutstand/core/trace.py
+++ b/troutstand/core/trace.py
@@ -33,7 +33,7 @@
     message: Grant | Shed | Preempt
 
 
-class Began(msgspec.Struct, frozen=True, tag="began"):
+class SchedulerStarted(msgspec.Struct, frozen=True, tag="began"):
     """Tell how the scheduler was made."""
 
     failure_domain: str
@@ -42,20 +42,20 @@
     started_s: float
 
 
-class TableCame(msgspec.Struct, frozen=True, tag="table"):
+class TableUpdated(msgspec.Struct, frozen=True, tag="table"):
     """Carry the table that came into force."""
 
     version: int
     table: bytes
 
 
-class LeavingCame(msgspec.Struct, frozen=True, tag="leaving"):
+class LeavingUpdated(msgspec.Struct, frozen=True, tag="leaving"):
     """Carry the targets that the platform's list calls leaving."""
 
     names: list[str]
 
 
-class MessageCame(msgspec.Struct, frozen=True, tag="message"):
+class MessageReceived(msgspec.Struct, frozen=True, tag="message"):
     """Carry a message of an entry process and what was sent for it."""
 
     at_s: float
@@ -79,8 +79,10 @@
     sends: list[TracedSend]
 
 
-TraceStep = Began | TableCame | LeavingCame | MessageCame | Ticked | ProcessEnded
-Write = Callable[[bytes], object]
+TraceStep = (
+    SchedulerStarted | TableUpdated | LeavingUpdated | MessageReceived | Ticked | ProcessEnded
+)
+WriteLine = Callable[[bytes], object]
 
 
 def _trace_sends(sends: list[Send]) -> list[TracedSend]:
@@ -91,29 +93,29 @@
     """Record every step; one JSON line each."""
 
     def __init__(
-        self, failure_domain: str, waiting_limit: int, seed: int, started_s: float, write: Write
+        self, failure_domain: str, waiting_limit: int, seed: int, started_s: float, write: WriteLine
     ) -> None:
         super().__init__(failure_domain, waiting_limit, seed, started_s)
         self._write = write
-        self._record(Began(failure_domain, waiting_limit, seed, started_s))
+        self._record(SchedulerStarted(failure_domain, waiting_limit, seed, started_s))
 
     def _record(self, step: TraceStep) -> None:
         self._write(msgspec.json.encode(step) + b"\n")
 
     def update_table(self, table: Table) -> None:
         """Take a newer version of the table."""
-        self._record(TableCame(table.version, table.pack()))
+        self._record(TableUpdated(table.version, table.pack()))
         super().update_table(table)
 
     def update_leaving(self, names: frozenset[str]) -> None:
         """Take the targets that the platform's list calls leaving."""
-        self._record(LeavingCame(sorted(names)))
+        self._record(LeavingUpdated(sorted(names)))
         super().update_leaving(names)
 
     def _record_message(
         self, process: str, message: SchedulerMessage, now_s: float, sends: list[Send]
     ) -> list[Send]:
-        self._record(MessageCame(now_s, process, message, _trace_sends(sends)))
+        self._record(MessageReceived(now_s, process, message, _trace_sends(sends)))
         return sends
 
     def submit(self, process: str, ask: PlacementAsk, now_s: float) -> list[Send]:
@@ -150,7 +152,7 @@
         return sends
 
 
-def _replay_message(scheduler: Scheduler, step: MessageCame) -> list[Send]:
+def _replay_message(scheduler: Scheduler, step: MessageReceived) -> list[Send]:
     match step.message:
         case PlacementAsk():
             return scheduler.submit(step.process, step.message, step.at_s)
@@ -164,7 +166,7 @@
             return scheduler.apply_notices(step.message, step.at_s)
 
 
-def _load_table(step: TableCame) -> Table:
+def _load_table(step: TableUpdated) -> Table:
     table = Table()
     table.unpack(step.version, step.table)
     return table
@@ -187,20 +189,20 @@
         step: TraceStep = msgspec.json.decode(line, type=TraceStep)
         sends: list[Send] = []
         match step:
-            case Began():
+            case SchedulerStarted():
                 scheduler = Scheduler(
                     step.failure_domain, step.waiting_limit, step.seed, step.started_s
                 )
                 continue
             case _ if scheduler is None:
                 raise ValueError(f"line {number}: the trace does not begin with a beginning")
-            case TableCame():
+            case TableUpdated():
                 scheduler.update_table(_load_table(step))
                 continue
-            case LeavingCame(names):
+            case LeavingUpdated(names):
                 scheduler.update_leaving(frozenset(names))
                 continue
-            case MessageCame():
+            case MessageReceived():
                 sends = _replay_message(scheduler, step)
             case Ticked(at_s):
                 sends = scheduler.tick(at_s)
--- a/troutstand/daemon/placement.py
+++ b/troutstand/daemon/placement.py
@@ -10,10 +10,10 @@
 import msgspec
 
 from troutstand.core.codes import ResultCode
-from troutstand.core.crashes import CrashBook
+from troutstand.core.crashes import CrashTracker
 from troutstand.core.errors import TroutstandError
 from troutstand.core.ids import ProcessId
-from troutstand.core.noticebook import NoticeBook
+from troutstand.core.noticebook import NoticeStore
 from troutstand.generated.messages import (
     Finished,
     Grant,
@@ -69,9 +69,9 @@
     deliver: Deliver
     scheduler: ProcessId | None = None
     # What callers here were refused for, so that it outlives the scheduler.
-    _crashes: CrashBook = field(default_factory=CrashBook)
+    _crashes: CrashTracker = field(default_factory=CrashTracker)
     # What targets said of themselves, for the same reason.
-    _notices: NoticeBook = field(default_factory=NoticeBook)
+    _notices: NoticeStore = field(default_factory=NoticeStore)
     _pending: dict[str, _Pending] = field(default_factory=dict)
     _running: dict[str, _Running] = field(default_factory=dict)
 
@@ -148,7 +148,7 @@
         The scheduler is told at once: the end of a stream may be far off.
         """
         now_s = read_clock_s()
-        is_news = self._notices.note(notice, asked_s, now_s)
+        is_news = self._notices.record(notice, asked_s, now_s)
         if is_news:
             emit_notice_received(self.events, request, notice)
         if is_news or notice.limit_per_s is not None:
@@ -177,11 +177,11 @@
             if grant.request not in self._running:
                 self._give_back(grant)
             return
-        self._notices.note_back(grant.target)
+        self._notices.clear_leaving(grant.target)
         pending.answer.set_result(grant)
 
     def _take_shed(self, shed: Shed) -> None:
-        self._crashes.inherit(shed.crashes, read_clock_s())
+        self._crashes.merge(shed.crashes, read_clock_s())
         pending = self._pending.get(shed.request)
         if pending is None or pending.answer.done():
             return
--- a/troutstand/daemon/relay.py
+++ b/troutstand/daemon/relay.py
@@ -105,11 +105,11 @@
         TroutstandError
             Where the answer does not come whole.
         """
-        while not self.stream.is_whole:
+        while not self.stream.is_complete:
             try:
                 async for batch in self._read_once():
                     yield batch
-                if not self.stream.is_whole:
+                if not self.stream.is_complete:
                     raise TroutstandError(
                         ResultCode.ANSWER_CUT,
                         f"after event {self.stream.last_number}",
@@ -119,7 +119,7 @@
                 if not self._may_resume(error):
                     raise self._tell_begun(error) from error
                 self.progress.resumes += 1
-                self.stream.restart()
+                self.stream.resume()
 
     def _tell_begun(self, error: TroutstandError) -> TroutstandError:
         """Return the error as one of an answer that had begun, where it had.
@@ -155,7 +155,7 @@
                 events = self.stream.feed(data)
                 if events:
                     yield self._note(events)
-                if self.stream.is_whole:
+                if self.stream.is_complete:
                     return
         finally:
             await source.aclose()  # pyright: ignore[reportAttributeAccessIssue]
--- a/troutstand/daemon/requests.py
+++ b/troutstand/daemon/requests.py
@@ -13,7 +13,7 @@
 
 from troutstand.core.codes import ResultCode
 from troutstand.core.errors import TroutstandError
-from troutstand.core.fingerprint import take_fingerprint
+from troutstand.core.fingerprint import compute_fingerprint
 from troutstand.core.prefix import Prefixes, count_tokens, hash_prefixes
 from troutstand.daemon.refusals import KEY_HEADER
 from troutstand.generated.table import Model, Service, Target, Tier, Workspace
@@ -93,7 +93,7 @@
     @property
     def fingerprint(self) -> str:
         """Return what is the same for all requests of the workspace with one path and body."""
-        return take_fingerprint(self.caller.workspace.name, "POST", "", self.path, self.body)
+        return compute_fingerprint(self.caller.workspace.name, "POST", "", self.path, self.body)
 
 
 @dataclass
--- a/troutstand/daemon/services.py
+++ b/troutstand/daemon/services.py
@@ -15,7 +15,7 @@
 from troutstand.core.codes import ResultCode, Run
 from troutstand.core.command import UNKNOWN_OUTCOME, make_not_run_outcome
 from troutstand.core.errors import TroutstandError
-from troutstand.core.fingerprint import take_fingerprint
+from troutstand.core.fingerprint import compute_fingerprint
 from troutstand.core.ids import CommandKey
 from troutstand.daemon.refusals import KEY_HEADER
 from troutstand.generated.messages import Finished, Grant, Outcome, OutcomeKind, PlacementAsk
@@ -61,7 +61,7 @@
     def fingerprint(self) -> str:
         """Return what is the same for all calls of the workspace with one path and body."""
         workspace = self.caller.workspace.name
-        return take_fingerprint(workspace, self.method, "", self.path, self.body)
+        return compute_fingerprint(workspace, self.method, "", self.path, self.body)
 
     def digest(self) -> str:
         """Return a digest that tells this call from others of its key."""
--- a/troutstand/routing/calls.py
+++ b/troutstand/routing/calls.py
@@ -8,7 +8,7 @@
 from troutstand.core.codes import ResultCode
 from troutstand.core.configuration import RouteTable, pick_service
 from troutstand.core.errors import TroutstandError
-from troutstand.core.fingerprint import take_fingerprint
+from troutstand.core.fingerprint import compute_fingerprint
 from troutstand.core.tiers import DEFAULT_ORDER, Tiers, rank_tiers
 from troutstand.generated.configuration import Route, RoutedWorkspace, RouteKind
 from troutstand.generated.messages import Part, RoutedWork
@@ -211,7 +211,7 @@
 def identify(call: Call, method: str, host: str, path: str, body: bytes) -> Call:
     """Return a call that tells which others ask for the same."""
     workspace = call.workspace.name if call.workspace is not None else ""
-    return replace(call, fingerprint=take_fingerprint(workspace, method, host, path, body))
+    return replace(call, fingerprint=compute_fingerprint(workspace, method, host, path, body))
 
 
 def make_outgoing(
--- a/troutstand/routing/decisions.py
+++ b/troutstand/routing/decisions.py
@@ -5,13 +5,13 @@
 from typing import TYPE_CHECKING
 
 from troutstand.core.codes import ResultCode
-from troutstand.core.crashes import Blame
+from troutstand.core.crashes import Suspicion
 from troutstand.generated.messages import Declined, Placed
 
 if TYPE_CHECKING:
-    from troutstand.core.crashes import BlameChange
+    from troutstand.core.crashes import SuspicionChange
     from troutstand.core.decision import Decision, PlacedInputs
-    from troutstand.core.reach import WayChange
+    from troutstand.core.reach import LinkChange
     from troutstand.util.events import EventBus
 
 ALONE = "alone"
@@ -41,27 +41,27 @@
             )
 
 
-def emit_way_changes(events: EventBus, changes: list[WayChange], decider: str) -> None:
+def emit_way_changes(events: EventBus, changes: list[LinkChange], decider: str) -> None:
     """Write one line for each way between failure domains that is held off or open again."""
     for change in changes:
         events.emit(
             "way_regained" if change.is_open else "way_lost",
-            source=change.way.source,
-            destination=change.way.destination,
+            source=change.link.source,
+            destination=change.link.destination,
             targets=",".join(change.targets),
             decider=decider,
         )
 
 
-def emit_blame_changes(events: EventBus, changes: list[BlameChange], decider: str) -> None:
+def emit_blame_changes(events: EventBus, changes: list[SuspicionChange], decider: str) -> None:
     """Write one line for each request that is blamed for a target's end, or cleared."""
     for change in changes:
         events.emit(
-            "request_cleared" if change.blame is Blame.NONE else "request_blamed",
+            "request_cleared" if change.suspicion is Suspicion.NONE else "request_blamed",
             fingerprint=change.fingerprint,
             target=change.target or None,
-            targets_ended=change.ends,
-            blame=change.blame.value,
+            targets_ended=change.crash_count,
+            blame=change.suspicion.value,
             decider=decider,
         )
 
--- a/troutstand/routing/heldwork.py
+++ b/troutstand/routing/heldwork.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from troutstand.core.seenspeeds import SeenSpeeds
+from troutstand.core.seenspeeds import ObservedSpeeds
 from troutstand.generated.messages import Ending, FirstByte, PlacedWork
 
 if TYPE_CHECKING:
@@ -32,7 +32,7 @@
 
     def __init__(self) -> None:
         self._held: dict[str, Held] = {}
-        self._seen = SeenSpeeds()
+        self._seen = ObservedSpeeds()
 
     def __len__(self) -> int:
         return len(self._held)
@@ -50,7 +50,7 @@
             return None
         held.has_first = True
         if held.work.prompt_tokens and first_s >= 0.0:
-            self._seen.note_first(
+            self._seen.record_first_byte(
                 held.work.service, held.target, held.born_ms, held.to_read, first_s, now_s
             )
         return FirstByte(request, held.target, first_s)
@@ -62,11 +62,11 @@
             return
         service = held.work.service
         if not held.work.prompt_tokens:
-            self._seen.note_service(service, held.target, held.born_ms, ended.total_s, now_s)
+            self._seen.record_service_time(service, held.target, held.born_ms, ended.total_s, now_s)
         elif ended.produced_events > 1 and ended.first_s >= 0.0:
             tokens = ended.produced_events * _find_stride(table, service)
             token_s = (ended.total_s - ended.first_s) / tokens
-            self._seen.note_token(service, held.target, held.born_ms, token_s, now_s)
+            self._seen.record_token_time(service, held.target, held.born_ms, token_s, now_s)
 
     def list_running(self, now_s: float) -> list[PlacedWork]:
         """Return what runs, for a decider that does not know it."""
@@ -77,7 +77,7 @@
 
     def list_speeds(self, now_s: float) -> list[TargetSpeed]:
         """Return how fast targets were seen to be lately."""
-        return self._seen.list_fresh(now_s)
+        return self._seen.list_recent(now_s)
 
 
 def _find_stride(table: RouteTable | None, service: str) -> int:
--- a/troutstand/routing/placement.py
+++ b/troutstand/routing/placement.py
@@ -12,11 +12,11 @@
 from typing import TYPE_CHECKING
 
 from troutstand.core.codes import ResultCode
-from troutstand.core.crashes import Blame, CrashBook
+from troutstand.core.crashes import Suspicion, CrashTracker
 from troutstand.core.decision import decline_quarantined
 from troutstand.core.dispatch import Dispatcher
 from troutstand.core.errors import TroutstandError
-from troutstand.core.noticebook import NoticeBook
+from troutstand.core.noticebook import NoticeStore
 from troutstand.core.quota import QuotaBounds, Quotas
 from troutstand.core.retries import RetryBudget
 from troutstand.generated.messages import (
@@ -49,7 +49,7 @@
 if TYPE_CHECKING:
     from troutstand.core.configuration import RouteTable
     from troutstand.core.ids import ProcessId
-    from troutstand.core.selfreport import KeptBack
+    from troutstand.core.selfreport import BlockReason
     from troutstand.generated.messages import PeerMessage, TargetNotice
     from troutstand.routing.knownrollouts import KnownRollouts
     from troutstand.routing.node import RoutingNode
@@ -80,8 +80,8 @@
         self._attachment = 0
         self._levels: list[Level] = []
         self._holds: list[Hold] = []
-        self._crashes = CrashBook()
-        self._notices = NoticeBook()
+        self._crashes = CrashTracker()
+        self._notices = NoticeStore()
         self._local = self._make_local()
 
     def _make_local(self) -> Dispatcher:
@@ -155,9 +155,9 @@
     async def place(self, work: RoutedWork) -> Placed | Declined:
         """Return a request's target, or its refusal."""
         now_s = read_clock_s()
-        if self._crashes.judge(work.fingerprint, now_s) is Blame.QUARANTINED:
+        if self._crashes.get_suspicion(work.fingerprint, now_s) is Suspicion.QUARANTINED:
             # Known here, be it that the decider has just started and knows nothing yet.
-            quarantine = self._crashes.explain(work.fingerprint, now_s)
+            quarantine = self._crashes.describe_quarantine(work.fingerprint, now_s)
             return decline_quarantined(work.request, quarantine)
         loop = asyncio.get_running_loop()
         placing = Placing(work, read_clock_s(), loop.create_future())
@@ -179,7 +179,7 @@
             case Declined(crashes=crashes):
                 # What a decider refused once outlives it, however soon it ends: within one
                 # heartbeat it took another target to find out again.
-                self._crashes.inherit(crashes, now_s)
+                self._crashes.merge(crashes, now_s)
         return answer
 
     def _ask(self, placing: Placing) -> None:
@@ -268,9 +268,9 @@
 
     # What targets say of themselves
 
-    def judge_target(self, placed: Placed) -> KeptBack | None:
+    def judge_target(self, placed: Placed) -> BlockReason | None:
         """Return why nothing may be sent to a request's target now, or None."""
-        return self._notices.judge(placed.target, placed.born_ms, read_clock_s())
+        return self._notices.get_block_reason(placed.target, placed.born_ms, read_clock_s())
 
     def hear_target(self, request: str, notice: TargetNotice, asked_s: float) -> None:
         """Take what a target's answer says of the target, and tell the decider at once.
@@ -278,7 +278,7 @@
         A limit is told with each answer that names it: it holds for as long as that, and a
         decider that learnt it by a message that was lost learns it by the next.
         """
-        is_news = self._notices.note(notice, asked_s, read_clock_s())
+        is_news = self._notices.record(notice, asked_s, read_clock_s())
         if is_news:
             emit_notice_received(self._node.events, request, notice)
         if is_news or notice.limit_per_s is not None:
@@ -286,7 +286,7 @@
 
     def _tell_notice(self, target: str) -> None:
         now_s = read_clock_s()
-        notices = [self._notices.describe(target, now_s)]
+        notices = [self._notices.build_notice(target, now_s)]
         if isinstance(self._current, Alone):
             self._local.note_notices(self._node.process, notices, now_s)
         else:
@@ -321,7 +321,7 @@
         """Take a scheduler's answer to a heartbeat."""
         is_asked = process == self._current or self._is_alone()
         if reply.has_targets and is_asked and self._targets.take(reply):
-            self._notices.follow_list(self._targets.targets, read_clock_s())
+            self._notices.prune(self._targets.targets, read_clock_s())
             self._local.use_targets(self._targets.targets, read_clock_s(), is_from_peer=True)
             self._deliver_local()
         if process == self._current:
@@ -329,7 +329,7 @@
             self._levels = reply.levels
             self._holds = reply.holds
             if reply.crashes_version != self._crashes.version:
-                self._crashes.follow(reply.crashes, read_clock_s())
+                self._crashes.replace(reply.crashes, read_clock_s())
 
     def _is_alone(self) -> bool:
         return isinstance(self._current, Alone)
@@ -373,8 +373,8 @@
     # Alone
 
     def _deliver_local(self) -> None:
-        emit_way_changes(self._node.events, self._local.reach.take_changes(), ALONE)
-        emit_blame_changes(self._node.events, self._crashes.take_changes(), ALONE)
+        emit_way_changes(self._node.events, self._local.reach.drain_changes(), ALONE)
+        emit_blame_changes(self._node.events, self._crashes.drain_changes(), ALONE)
         for decision in self._local.drain_decisions():
             answer = decision.answer
             placing = self._placing.get(answer.request)
@@ -410,7 +410,7 @@
                 self._node.events.emit("targets_unread", detail=str(error), age_s=age_s)
                 continue
             self._targets.emit_spoiled(self._node.events)
-            self._notices.follow_list(self._targets.targets, read_clock_s())
+            self._notices.prune(self._targets.targets, read_clock_s())
             if changed and self._is_alone():
                 self._local.use_targets(self._targets.targets, read_clock_s())
                 self._deliver_local()
--- a/troutstand/routing/relay.py
+++ b/troutstand/routing/relay.py
@@ -11,13 +11,13 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING, Protocol
 
-from troutstand.core.notices import read_notice
+from troutstand.core.notices import parse_notice
 from troutstand.generated.messages import Ending, TargetNotice
 from troutstand.routing.exchange import ExchangeError, write_head
 from troutstand.util.clock import read_clock_s
 
 if TYPE_CHECKING:
-    from troutstand.core.selfreport import KeptBack
+    from troutstand.core.selfreport import BlockReason
     from troutstand.generated.messages import Placed
     from troutstand.routing.dialect import HeaderNames
     from troutstand.routing.exchange import (
@@ -140,7 +140,7 @@
 class TargetWatch(Protocol):
     """Know which targets want to be left alone."""
 
-    def judge_target(self, placed: Placed) -> KeptBack | None:
+    def judge_target(self, placed: Placed) -> BlockReason | None:
         """Return why nothing may be sent to a request's target now, or None."""
         ...
 
@@ -214,7 +214,7 @@
         except BaseException:
             connection.abort()
             raise
-        notice = read_notice(answer.status, answer.get, self._names, placed.target, placed.born_ms)
+        notice = parse_notice(answer.status, answer.get, self._names, placed.target, placed.born_ms)
         self._watch.hear_target(outgoing.request, notice, started_s)
         sent = Sent(placed, connection, answer, started_s, read_clock_s() - started_s)
         try:
--- a/troutstand/routing/scheduler.py
+++ b/troutstand/routing/scheduler.py
@@ -160,8 +160,8 @@
 
     def _deliver(self) -> None:
         now_s = read_clock_s()
-        emit_way_changes(self.node.events, self.dispatcher.reach.take_changes(), SCHEDULER)
-        emit_blame_changes(self.node.events, self.dispatcher.crashes.take_changes(), SCHEDULER)
+        emit_way_changes(self.node.events, self.dispatcher.reach.drain_changes(), SCHEDULER)
+        emit_blame_changes(self.node.events, self.dispatcher.crashes.drain_changes(), SCHEDULER)
         for decision in self.dispatcher.drain_decisions():
             answer = decision.answer
             settled = self._settle(decision.owner, answer.request, answer)
@@ -212,7 +212,7 @@
         self._inherit_limits(peer, ask, now_s)
         self.dispatcher.inherit_holds(ask.holds)
         self.dispatcher.inherit_speeds(ask.speeds)
-        self.dispatcher.crashes.inherit(ask.crashes, now_s)
+        self.dispatcher.crashes.merge(ask.crashes, now_s)
         self.node.events.emit(
             "gateway_attached",
             peer=peer,
--- a/troutstand/testing/mixes.py
+++ b/troutstand/testing/mixes.py
@@ -5,7 +5,7 @@
 import random
 from dataclasses import dataclass
 
-from troutstand.core.prefix import CHARACTERS_A_TOKEN
+from troutstand.core.prefix import CHARACTERS_PER_TOKEN
 from troutstand.testing.engine import NONCE_CHARACTERS
 
 _HEX = "0123456789abcdef"
@@ -112,5 +112,5 @@
         return self._prefixes[key]
 
     def _make_text(self, tokens: int) -> str:
-        characters = tokens * CHARACTERS_A_TOKEN
+        characters = tokens * CHARACTERS_PER_TOKEN
         return "".join(self._random.choices(_HEX, k=characters))
--- a/troutstand/tests/steps/answer.py
+++ b/troutstand/tests/steps/answer.py
@@ -79,15 +79,15 @@
 @when("its events come cut off and resumed")
 def feed_resumed(context: Context) -> None:
     feed(context, *context.events[:5], context.events[5][:10])
-    assert not context.stream.is_whole
-    context.stream.restart()
+    assert not context.stream.is_complete
+    context.stream.resume()
     feed(context, *context.events[5:], _DONE)
 
 
 @when("its events come resumed from too early")
 def feed_early(context: Context) -> None:
     feed(context, *context.events[:5])
-    context.stream.restart()
+    context.stream.resume()
     feed(context, *context.events[2:], _DONE)
 
 
@@ -100,8 +100,8 @@
 @when("its events come cut off in a gap behind the end mark")
 def feed_gap_resumed(context: Context) -> None:
     feed(context, *context.events[:3], *context.events[4:], _DONE)
-    assert not context.stream.is_whole
-    context.stream.restart()
+    assert not context.stream.is_complete
+    context.stream.resume()
     feed(context, *context.events[3:], _DONE)
 
 
@@ -134,7 +134,7 @@
 
 @then("the whole answer is given in order")
 def assert_whole(context: Context) -> None:
-    assert context.stream.is_whole and context.error is None, context.error
+    assert context.stream.is_complete and context.error is None, context.error
     numbers = [
         int(event.data.split(b'"n":')[1].rstrip(b"}").split(b",")[0]) for event in context.taken
     ]
@@ -143,7 +143,7 @@
 
 @then("the answer is not whole")
 def assert_not_whole(context: Context) -> None:
-    assert not context.stream.is_whole
+    assert not context.stream.is_complete
 
 
 @then("it fails with {code:d}")
--- a/troutstand/tests/steps/crashes.py
+++ b/troutstand/tests/steps/crashes.py
@@ -7,7 +7,7 @@
 from behave import then, when
 
 from troutstand.core.codes import ResultCode
-from troutstand.core.crashes import CrashBook
+from troutstand.core.crashes import CrashTracker
 from troutstand.generated.messages import Ended, Ending
 from troutstand.tests.steps.dispatch import Desk
 
@@ -229,24 +229,24 @@
     after.now_s = before.now_s + 1000.0
     told = before.dispatcher.crashes.list_histories(before.now_s)
     for _ in range(times):
-        after.dispatcher.crashes.inherit(told, after.now_s)
+        after.dispatcher.crashes.merge(told, after.now_s)
     assert after.dispatcher.crashes.version == before.dispatcher.crashes.version
     context.desk = after
 
 
 @when("a target ends under each of {count:d} bodies")
 def end_under_many(context: Context, count: int) -> None:
-    book = context.book = CrashBook()
+    book = context.book = CrashTracker()
     for number in range(count):
         for turn in range(1 + number % 2):
             now_s = 0.001 * number + 0.0001 * turn
-            book.note_broken(f"f{number}", f"t{number}.{turn}", 0.0, now_s)
-            book.note_gone(f"t{number}.{turn}", now_s)
+            book.record_broken(f"f{number}", f"t{number}.{turn}", 0.0, now_s)
+            book.record_target_gone(f"t{number}.{turn}", now_s)
 
 
 @then("at most {most:d} bodies are kept, and at most {told:d} are told to others")
 def check_kept(context: Context, most: int, told: int) -> None:
-    kept = sum(context.book.is_blamed(f"f{number}") for number in range(3000))
+    kept = sum(context.book.is_suspected(f"f{number}") for number in range(3000))
     assert 0 < kept <= most, kept
     assert 0 < len(context.book.list_histories(10.0)) <= told
 
--- a/troutstand/tests/steps/dispatch.py
+++ b/troutstand/tests/steps/dispatch.py
@@ -11,7 +11,7 @@
 from troutstand.core.dispatch import Dispatcher
 from troutstand.core.quota import QuotaBounds, Quotas
 from troutstand.core.retries import RetryBudget
-from troutstand.core.speed import ReadingFit, ReadingSpeed
+from troutstand.core.speed import PrefillFit, PrefillSpeed
 from troutstand.core.targetstate import TargetState
 from troutstand.core.tiers import DEFAULT_ORDER, rank_tiers
 from troutstand.generated.configuration import RoutedWorkspace
@@ -133,7 +133,7 @@
 @given("the second target has read the prompt parts {first} and {second}")
 def remember_parts(context: Context, first: str, second: str) -> None:
     state = context.desk.dispatcher.pools["work"].targets["t2"]
-    state.remember("m", [Part(first, 500), Part(second, 500)])
+    state.add_cached_parts("m", [Part(first, 500), Part(second, 500)])
 
 
 @given("the workspace may take {tokens:d} tokens at once")
@@ -334,7 +334,7 @@
     desk = context.desk
     context.got = []
     for state in desk.dispatcher.pools["work"].targets.values():
-        state.service_s.learn(0.1)
+        state.service_s.add_sample(0.1)
     for number in range(8):
         # The target that has served becomes a little slower than the others.
         request = desk.arrive()
@@ -378,7 +378,7 @@
     desk = context.desk
     targets = desk.dispatcher.pools["work"].targets
     for name, state in targets.items():
-        state.reading = ReadingFit(ReadingSpeed(0.0, 1e-3 if name == "t1" else 1e-6))
+        state.prefill = PrefillFit(PrefillSpeed(0.0, 1e-3 if name == "t1" else 1e-6))
     context.first = [desk.arrive(prompt_tokens=10, output_tokens=1) for _ in range(80)]
     assert len(desk.placed) == 80
     _make_unfit(desk, count)
--- a/troutstand/tests/steps/dispatchwaiting.py
+++ b/troutstand/tests/steps/dispatchwaiting.py
@@ -6,8 +6,8 @@
 
 from behave import given, then, when
 
-from troutstand.core.speed import ReadingFit, ReadingSpeed
-from troutstand.core.targetstate import Running
+from troutstand.core.speed import PrefillFit, PrefillSpeed
+from troutstand.core.targetstate import RunningRequest
 from troutstand.generated.messages import Hold, RoutedWork
 from troutstand.tests.steps.dispatch import GATEWAY
 
@@ -18,8 +18,8 @@
 @given("the first target reads {slow:d} tokens a second and the second {fast:d}")
 def set_speeds(context: Context, slow: int, fast: int) -> None:
     targets = context.desk.dispatcher.pools["work"].targets
-    targets["t1"].reading = ReadingFit(ReadingSpeed(0.0, 1.0 / slow))
-    targets["t2"].reading = ReadingFit(ReadingSpeed(0.0, 1.0 / fast))
+    targets["t1"].prefill = PrefillFit(PrefillSpeed(0.0, 1.0 / slow))
+    targets["t2"].prefill = PrefillFit(PrefillSpeed(0.0, 1.0 / fast))
 
 
 @given("the first target streams to {count:d} callers that bear pauses of {pause_s:g} s")
@@ -28,7 +28,7 @@
     state = desk.dispatcher.pools["work"].targets["t1"]
     for number in range(count):
         work = RoutedWork(f"stream{number}", "work", 1.0, 8.0, prompt_tokens=10, pause_s=pause_s)
-        run = Running(work, GATEWAY, desk.now_s, 10.0, 0.1, has_first=True)
+        run = RunningRequest(work, GATEWAY, desk.now_s, 10.0, 0.1, has_first_byte=True)
         state.start(run)
         desk.placed[work.request] = "t1"
 
@@ -36,7 +36,7 @@
 @given("the target reads {speed:d} tokens a second and its slot is taken")
 def take_only_slot(context: Context, speed: int) -> None:
     pool = context.desk.dispatcher.pools["work"]
-    pool.targets["t1"].reading = ReadingFit(ReadingSpeed(0.0, 1.0 / speed))
+    pool.targets["t1"].prefill = PrefillFit(PrefillSpeed(0.0, 1.0 / speed))
     pool.hold_s = 0.05
     context.first = [context.desk.arrive()]
 
--- a/troutstand/tests/steps/lives.py
+++ b/troutstand/tests/steps/lives.py
@@ -8,7 +8,7 @@
 import msgspec
 from behave import given, then, when
 
-from troutstand.core.seenspeeds import SeenSpeeds
+from troutstand.core.seenspeeds import ObservedSpeeds
 from troutstand.generated.messages import Ending, Part, PlacedWork, RoutedWork, TargetSpeed
 from troutstand.tests.steps.dispatch import Desk
 from troutstand.tests.steps.platform import LISTED, load_folder
@@ -40,9 +40,9 @@
     while desk.count("t1") < 2:
         desk.arrive()
     state = _first(context)
-    state.remember("m", [Part("p", 100)])
-    state.service_s.learn(0.05)
-    state.token_s.learn(0.01)
+    state.add_cached_parts("m", [Part("p", 100)])
+    state.service_s.add_sample(0.05)
+    state.token_s.add_sample(0.01)
 
 
 @given("the first target is held off for its failures")
@@ -52,7 +52,7 @@
         desk.arrive()
     for request in [r for r, target in desk.placed.items() if target == "t1"]:
         desk.end(request, Ending.broken)
-    assert _first(context).is_held_off(desk.now_s)
+    assert _first(context).is_ejected(desk.now_s)
 
 
 @when("the list tells {what} of the first target")
@@ -83,9 +83,9 @@
 def check_unknown(context: Context) -> None:
     state = _first(context)
     assert not state.running, state.running
-    assert not state.parts, state.parts
+    assert not state.cached_parts, state.cached_parts
     assert state.token_s.value is None and state.service_s.value is None
-    assert not state.strikes
+    assert not state.consecutive_losses
 
 
 @then("the first target runs {count:d} requests, and its speeds are known")
@@ -116,14 +116,14 @@
 
 @given("a gateway that saw speeds of two lives of a target")
 def see_two(context: Context) -> None:
-    context.seen = SeenSpeeds()
-    context.seen.note_token(_SERVICE, "t1", _BORN_MS, 0.04, 100.0)
-    context.seen.note_token(_SERVICE, "t1", _LATER_MS, 0.01, 101.0)
+    context.seen = ObservedSpeeds()
+    context.seen.record_token_time(_SERVICE, "t1", _BORN_MS, 0.04, 100.0)
+    context.seen.record_token_time(_SERVICE, "t1", _LATER_MS, 0.01, 101.0)
 
 
 @then("it passes on those of the later life only")
 def check_passed(context: Context) -> None:
-    (speed,) = context.seen.list_fresh(102.0)
+    (speed,) = context.seen.list_recent(102.0)
     assert (speed.born_ms, speed.token_s, speed.token_samples) == (_LATER_MS, 0.01, 1), speed
 
 
--- a/troutstand/tests/steps/pacing.py
+++ b/troutstand/tests/steps/pacing.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from behave.runner import Context
 
-    from troutstand.core.pace import Pace
+    from troutstand.core.pace import RateLimiter
     from troutstand.tests.steps.dispatch import Desk
 
 _WINDOW_S = 4.0
@@ -84,14 +84,14 @@
     reports = [SelfReport() for _ in range(gateways)]
     for report in reports:
         notice = TargetNotice("t1", limit_per_s=limit_per_s)
-        report.take("", notice, _BEGAN_S, LimitShare(1.0 / gateways, draws))
+        report.apply_notice("", notice, _BEGAN_S, LimitShare(1.0 / gateways, draws))
     return reports
 
 
 def _ask_each(reports: list[SelfReport], now_s: float, sent_s: list[float]) -> None:
     for report in reports:
         if report.may_send(now_s):
-            report.note_sent(now_s)
+            report.record_sent(now_s)
             sent_s.append(now_s)
 
 
@@ -122,17 +122,17 @@
 
 @then("t1 names no limit")
 def check_none(context: Context) -> None:
-    assert _find_pace(context) is None
+    assert _find_limiter(context) is None
 
 
 @then("t1 names a limit of {limit_per_s:g} a second")
 def check_limit(context: Context, limit_per_s: float) -> None:
-    pace = _find_pace(context)
+    pace = _find_limiter(context)
     assert pace is not None and pace.limit_per_s == limit_per_s, pace
 
 
-def _find_pace(context: Context) -> Pace | None:
-    return context.desk.dispatcher.pools["work"].targets["t1"].report.pace
+def _find_limiter(context: Context) -> RateLimiter | None:
+    return context.desk.dispatcher.pools["work"].targets["t1"].report.rate_limiter
 
 
 @when("the list of targets lacks t1 once")
--- a/troutstand/tests/steps/platform.py
+++ b/troutstand/tests/steps/platform.py
@@ -14,7 +14,7 @@
 from behave import given, then, when
 
 from troutstand.core.errors import TroutstandError, flatten_group
-from troutstand.core.notices import read_notice
+from troutstand.core.notices import parse_notice
 from troutstand.core.rollouts.state import RolloutRequest
 from troutstand.generated.configuration import RouteKind
 from troutstand.generated.messages import ListedState, RolloutOrder, RolloutState
@@ -170,7 +170,7 @@
 def read_leaving(context: Context) -> None:
     names = load_folder()[1].PLATFORM_DIALECT.headers
     index = {"server-leaving": "1", "server-limit": "1.7"}
-    context.notice = read_notice(200, index.get, names)
+    context.notice = parse_notice(200, index.get, names)
 
 
 @then("it is read as a target that leaves and names a limit of 1.7 a second")
--- a/troutstand/tests/steps/probes.py
+++ b/troutstand/tests/steps/probes.py
@@ -39,7 +39,7 @@
         desk.end(request, Ending.broken)
     assert desk.count("t1") == 0
     state = desk.dispatcher.pools["work"].targets["t1"]
-    assert state.is_held_off(desk.now_s + 0.9)
+    assert state.is_ejected(desk.now_s + 0.9)
 
 
 @when("its running answers break")
@@ -89,7 +89,7 @@
 def check_none_held(context: Context) -> None:
     desk = context.desk
     targets = desk.dispatcher.pools["work"].targets.values()
-    assert not any(t.is_held_off(desk.now_s) for t in targets), list(targets)
+    assert not any(t.is_ejected(desk.now_s) for t in targets), list(targets)
 
 
 @given("all but the third target lost their answers and the third is full")
@@ -122,14 +122,14 @@
     desk = context.desk
     request = desk.arrive(is_repeatable=True)
     target = desk.placed[request]
-    assert desk.dispatcher.pools["work"].targets[target].is_held_off(desk.now_s), target
+    assert desk.dispatcher.pools["work"].targets[target].is_ejected(desk.now_s), target
 
 
 @when("every running answer breaks, and every target is held off for 4 s")
 def break_for_long(context: Context) -> None:
     break_all(context)
     for state in context.desk.dispatcher.pools["work"].targets.values():
-        state.strikes = 4
+        state.consecutive_losses = 4
         state.blocked_until_s = context.desk.now_s + 4.0
 
 
--- a/troutstand/tests/steps/reach.py
+++ b/troutstand/tests/steps/reach.py
@@ -8,7 +8,7 @@
 
 from troutstand.core.dispatch import Dispatcher
 from troutstand.core.quota import QuotaBounds, Quotas
-from troutstand.core.reach import Way
+from troutstand.core.reach import Link
 from troutstand.core.retries import RetryBudget
 from troutstand.generated.messages import (
     Ended,
@@ -180,8 +180,8 @@
 
 @then("the way from {source} to {destination} is reported as {state}")
 def check_reported(context: Context, source: str, destination: str, state: str) -> None:
-    changes = {c.way: c for c in context.cut.dispatcher.reach.take_changes()}
-    change = changes[Way(source, destination)]
+    changes = {c.link: c for c in context.cut.dispatcher.reach.drain_changes()}
+    change = changes[Link(source, destination)]
     assert change.is_open == (state == "regained"), change
     assert change.is_open or len(change.targets) == 2, change
 
@@ -201,7 +201,7 @@
     placed = [target for target in got if target]
     assert placed, got
     targets = cut.dispatcher.pools[_SERVICE].targets
-    return sum(1 for target in placed if targets[target].is_held_off(cut.now_s))
+    return sum(1 for target in placed if targets[target].is_ejected(cut.now_s))
 
 
 @then("{count:d} repeatable requests from {source} go to targets that are held off")
--- a/troutstand/tests/steps/relay.py
+++ b/troutstand/tests/steps/relay.py
@@ -9,8 +9,8 @@
 import msgspec
 from behave import given, then, when
 
-from troutstand.core.noticebook import NoticeBook
-from troutstand.core.selfreport import KeptBack
+from troutstand.core.noticebook import NoticeStore
+from troutstand.core.selfreport import BlockReason
 from troutstand.generated.configuration import RoutedWorkspace, RouteKind
 from troutstand.generated.messages import Placed, TargetNotice
 from troutstand.routing.calls import Call, make_outgoing
@@ -112,20 +112,20 @@
     """Keep what targets said of themselves, as a gateway does."""
 
     def __init__(self, looks_before_rest: int | None = None) -> None:
-        self.book = NoticeBook()
+        self.book = NoticeStore()
         self._looks_before_rest = looks_before_rest
 
-    def judge_target(self, placed: Placed) -> KeptBack | None:
+    def judge_target(self, placed: Placed) -> BlockReason | None:
         """Return why nothing may be sent to a request's target now, or None."""
         if self._looks_before_rest is not None:
             if not self._looks_before_rest:
-                return KeptBack.RESTING
+                return BlockReason.BACKOFF
             self._looks_before_rest -= 1
-        return self.book.judge(placed.target, placed.born_ms, time.monotonic())
+        return self.book.get_block_reason(placed.target, placed.born_ms, time.monotonic())
 
     def hear_target(self, request: str, notice: TargetNotice, asked_s: float) -> None:
         """Take what the answer to a request, sent at a time, says of its target."""
-        self.book.note(notice, asked_s, time.monotonic())
+        self.book.record(notice, asked_s, time.monotonic())
 
 
 async def _send_all(context: Context, outgoings: list[Outgoing]) -> None:
--- a/troutstand/tests/steps/rest.py
+++ b/troutstand/tests/steps/rest.py
@@ -7,9 +7,9 @@
 import msgspec
 from behave import given, then, when
 
-from troutstand.core.noticebook import NoticeBook
-from troutstand.core.notices import read_notice
-from troutstand.core.selfreport import KeptBack
+from troutstand.core.noticebook import NoticeStore
+from troutstand.core.notices import parse_notice
+from troutstand.core.selfreport import BlockReason
 from troutstand.generated.messages import Ending, ListedState, ListedTarget, TargetNotice
 from troutstand.routing.dialect import HeaderNames
 from troutstand.tests.steps.dispatch import GATEWAY, Desk
@@ -27,7 +27,7 @@
 @given("a desk for {targets:d} targets of {slots:d} slots")
 def make_desk(context: Context, targets: int, slots: int) -> None:
     context.desk = Desk(targets, slots)
-    context.book = NoticeBook()
+    context.book = NoticeStore()
 
 
 def tell(desk: Desk, gateway: str, *notices: TargetNotice) -> None:
@@ -242,7 +242,7 @@
 
 def hear(context: Context, notice: TargetNotice, asked_s: float = _BEGAN_S) -> bool:
     """Tell the book what the answer to a request said."""
-    return context.book.note(notice, asked_s, max(asked_s, _BEGAN_S))
+    return context.book.record(notice, asked_s, max(asked_s, _BEGAN_S))
 
 
 def _name_life(text: str) -> tuple[str, int]:
@@ -271,13 +271,13 @@
 @then("the book keeps back t1 as resting for {rest_s:g} s and t2 as leaving for ever")
 def check_both(context: Context, rest_s: float) -> None:
     check_resting(context, rest_s)
-    assert context.book.judge("t2", 0, _BEGAN_S + 1e6) is KeptBack.LEAVING
+    assert context.book.get_block_reason("t2", 0, _BEGAN_S + 1e6) is BlockReason.LEAVING
 
 
 @then("the book keeps back t1 as resting for {rest_s:g} s")
 def check_resting(context: Context, rest_s: float) -> None:
-    assert context.book.judge("t1", 0, _BEGAN_S + rest_s - 0.01) is KeptBack.RESTING
-    assert context.book.judge("t1", 0, _BEGAN_S + rest_s + 0.01) is None
+    assert context.book.get_block_reason("t1", 0, _BEGAN_S + rest_s - 0.01) is BlockReason.BACKOFF
+    assert context.book.get_block_reason("t1", 0, _BEGAN_S + rest_s + 0.01) is None
 
 
 @then("it tells deciders of both, and of t2 alone after {rest_s:g} s")
@@ -292,20 +292,20 @@
 
 @then("the book lets requests to {target} pass")
 def check_passes(context: Context, target: str) -> None:
-    assert context.book.judge(*_name_life(target), _BEGAN_S) is None
+    assert context.book.get_block_reason(*_name_life(target), _BEGAN_S) is None
 
 
 @then("the book keeps back {target} as leaving")
 def check_leaving(context: Context, target: str) -> None:
-    assert context.book.judge(*_name_life(target), _BEGAN_S) is KeptBack.LEAVING
+    assert context.book.get_block_reason(*_name_life(target), _BEGAN_S) is BlockReason.LEAVING
 
 
-def _show(book: NoticeBook, shown: str, now_s: float) -> None:
+def _show(book: NoticeStore, shown: str, now_s: float) -> None:
     listed = []
     if shown != "gone":
         state = ListedState(shown)
         listed = [ListedTarget("t2", "work", "127.0.0.1:1", "north", 1, state)]
-    book.follow_list(listed, now_s)
+    book.prune(listed, now_s)
 
 
 @when("lists show t2 as {first}, and {later_s:g} s later as {second}")
@@ -317,7 +317,7 @@
 
 @then("t2 is {judged}")
 def check_judged(context: Context, judged: str) -> None:
-    kept = context.book.judge("t2", 0, context.judged_s)
+    kept = context.book.get_block_reason("t2", 0, context.judged_s)
     assert (kept is None) == (judged == "let pass"), kept
 
 
@@ -328,7 +328,7 @@
 def read_answer(context: Context, status: int, headers: str) -> None:
     pairs = [part.split(": ") for part in headers.split(", ")]
     index = {name.lower(): value for name, value in pairs}
-    context.notice = read_notice(status, index.get, HeaderNames())
+    context.notice = parse_notice(status, index.get, HeaderNames())
 
 
 @then("it asks for {rest_s:g} s of rest and {says} that its target leaves")
--- a/troutstand/tests/steps/rollouts.py
+++ b/troutstand/tests/steps/rollouts.py
@@ -261,7 +261,7 @@
 @when('{count:d} requests of route "a" that take {stay_s:g} s come and go')
 def let_long_come(context: Context, count: int, stay_s: float) -> None:
     for target in context.desk.dispatcher.pools[_SERVICE].targets.values():
-        target.service_s.learn(stay_s)
+        target.service_s.add_sample(stay_s)
     for _ in range(count):
         _come_and_go(context, "a", 1)
 
--- a/troutstand/tests/steps/speed.py
+++ b/troutstand/tests/steps/speed.py
@@ -7,20 +7,20 @@
 
 from behave import given, then, when
 
-from troutstand.core.speed import ReadingFit, ReadingSpeed
+from troutstand.core.speed import PrefillFit, PrefillSpeed
 
 if TYPE_CHECKING:
     from behave.runner import Context
 
-_PRIOR = ReadingSpeed(constant_s=0.03, per_token_s=2e-5)
+_PRIOR = PrefillSpeed(constant_s=0.03, per_token_s=2e-5)
 _SEED = 20261202
 _THOUSAND = 1000.0
 
 
 @given("a target that takes {constant:g} ms and {more:g} ms a 1000 tokens until its first byte")
 def use_speed(context: Context, constant: float, more: float) -> None:
-    context.truth = ReadingSpeed(constant / _THOUSAND, more / _THOUSAND / _THOUSAND)
-    context.fit = ReadingFit(_PRIOR)
+    context.truth = PrefillSpeed(constant / _THOUSAND, more / _THOUSAND / _THOUSAND)
+    context.fit = PrefillFit(_PRIOR)
 
 
 @when("it has answered {count:d} requests of {least:d} to {most:d} tokens")
@@ -28,7 +28,7 @@
     luck = random.Random(_SEED)
     for _ in range(count):
         tokens = luck.uniform(least, most)
-        context.fit.learn(tokens, context.truth.estimate(tokens) * luck.uniform(0.95, 1.05))
+        context.fit.add_sample(tokens, context.truth.estimate(tokens) * luck.uniform(0.95, 1.05))
 
 
 @then("a prompt of {tokens:d} tokens is expected to take {ms:d} ms, within {share:d} in 100")
--- a/troutstand/tests/steps/takeover.py
+++ b/troutstand/tests/steps/takeover.py
@@ -14,7 +14,7 @@
 from troutstand.core.dispatch import Dispatcher
 from troutstand.core.quota import QuotaBounds, Quotas
 from troutstand.core.retries import RetryBudget
-from troutstand.core.seenspeeds import SeenSpeeds
+from troutstand.core.seenspeeds import ObservedSpeeds
 from troutstand.generated.messages import (
     Declined,
     Ended,
@@ -97,7 +97,7 @@
 @then("the second target has {tokens:d} tokens before it")
 def check_backlog(context: Context, tokens: int) -> None:
     state = context.dispatcher.pools[_SERVICE].targets["t1"]
-    assert state.backlog == tokens, state.backlog
+    assert state.backlog_tokens == tokens, state.backlog_tokens
 
 
 @given("{gateways:d} gateways that decide alone for {targets:d} like targets")
@@ -134,10 +134,10 @@
 _FAST_TOKEN_S = 4e-5
 
 
-def _see(target: str, token_s: float) -> SeenSpeeds:
-    seen = SeenSpeeds()
+def _see(target: str, token_s: float) -> ObservedSpeeds:
+    seen = ObservedSpeeds()
     for tokens in (500.0, 1000.0, 2000.0, 4000.0):
-        seen.note_first(_SERVICE, target, 0, tokens, 0.05 + token_s * tokens, _NOW_S)
+        seen.record_first_byte(_SERVICE, target, 0, tokens, 0.05 + token_s * tokens, _NOW_S)
     return seen
 
 
@@ -158,7 +158,7 @@
 def inherit_speeds(context: Context) -> None:
     context.dispatcher = _make_dispatcher(context.count, None)
     for seen in context.seen:
-        context.dispatcher.inherit_speeds(seen.list_fresh(_NOW_S))
+        context.dispatcher.inherit_speeds(seen.list_recent(_NOW_S))
 
 
 @then("the second target gets it, expected within {limit_s:g} s")
@@ -171,22 +171,22 @@
 
 @given("a gateway that saw {count:d} targets, the first {old:d} of them {age_s:g} s ago")
 def use_many(context: Context, count: int, old: int, age_s: float) -> None:
-    context.speeds = SeenSpeeds()
+    context.speeds = ObservedSpeeds()
     for number in range(count):
         seen_s = _NOW_S - age_s if number < old else _NOW_S
-        context.speeds.note_service(_SERVICE, f"t{number}", 0, 0.1, seen_s)
+        context.speeds.record_service_time(_SERVICE, f"t{number}", 0, 0.1, seen_s)
 
 
 @then("it passes {count:d} of them on, the latest first")
 def check_passed_on(context: Context, count: int) -> None:
-    passed = [seen.target for seen in context.speeds.list_fresh(_NOW_S)]
+    passed = [seen.target for seen in context.speeds.list_recent(_NOW_S)]
     assert len(passed) == count, passed
     assert passed[0] == "t39", passed
 
 
 @then("nothing {later_s:g} s later")
 def check_forgotten(context: Context, later_s: float) -> None:
-    assert not context.speeds.list_fresh(_NOW_S + later_s)
+    assert not context.speeds.list_recent(_NOW_S + later_s)
 
 
 @given("a scheduler whose only slot is taken")
--- a/troutstand/tests/steps/trace.py
+++ b/troutstand/tests/steps/trace.py
@@ -16,7 +16,7 @@
 from troutstand.core.command import UNKNOWN_OUTCOME, Command, make_not_run_outcome
 from troutstand.core.edit import Edit
 from troutstand.core.ids import CommandKey, Incarnation, ProcessId
-from troutstand.core.trace import MessageCame, TraceStep, replay_trace
+from troutstand.core.trace import MessageReceived, TraceStep, replay_trace
 from troutstand.generated.messages import Claim, Grant, Outcome, OutcomeKind
 from troutstand.testing.load import Load
 from troutstand.testing.mixes import DONOR, Drawer
@@ -77,7 +77,7 @@
     lines = read_trace(context)
     for index in range(len(lines) - 1, -1, -1):
         step = msgspec.json.decode(lines[index], type=TraceStep)
-        if isinstance(step, MessageCame) and step.sends:
+        if isinstance(step, MessageReceived) and step.sends:
             send = step.sends[0]
             if isinstance(send.message, Grant):
                 lines[index] = rename_granted(lines[index])
