--- a/troutstand/core/admissionqueue.py
+++ b/troutstand/core/admissionqueue.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from troutstand.core.codes import ResultCode
-from troutstand.core.crashes import Suspicion
+from troutstand.core.crashtracker import Suspicion
 from troutstand.core.decision import Decision, decline_quarantined
 from troutstand.core.scheduling.serviceshares import UNSHARED
 from troutstand.core.siteview import SiteView
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     import random
 
-    from troutstand.core.crashes import CrashTracker
+    from troutstand.core.crashtracker import CrashTracker
     from troutstand.core.pool import Pool
     from troutstand.core.quota import Quotas
     from troutstand.core.scheduling.options import LoadOptions
--- a/troutstand/core/choice.py
+++ b/troutstand/core/choice.py
@@ -4,14 +4,14 @@
 
 from typing import TYPE_CHECKING
 
-from troutstand.core.reach import Link
+from troutstand.core.reachability import Link
 
 if TYPE_CHECKING:
     import random
 
-    from troutstand.core.crashes import CrashTracker
+    from troutstand.core.crashtracker import CrashTracker
     from troutstand.core.pool import Pool
-    from troutstand.core.reach import Reachability
+    from troutstand.core.reachability import Reachability
     from troutstand.core.scheduling.waitingqueue import WaitingRequest
     from troutstand.core.targetstate import TargetState
     from troutstand.generated.messages import RoutedWork
--- a/troutstand/core/dispatch.py
+++ b/troutstand/core/dispatch.py
@@ -11,11 +11,11 @@
 from troutstand.core.admissionqueue import AdmissionQueue
 from troutstand.core.choice import TargetChoice, find_way
 from troutstand.core.codes import ResultCode
-from troutstand.core.crashes import MAX_ISOLATED, Suspicion, CrashTracker
+from troutstand.core.crashtracker import MAX_ISOLATED, CrashTracker, Suspicion
 from troutstand.core.decision import Decision, PlacedInputs
 from troutstand.core.pool import Pool
 from troutstand.core.quota import Judgement, Verdict
-from troutstand.core.reach import Reachability
+from troutstand.core.reachability import Reachability
 from troutstand.core.rollouts.admission import Admission
 from troutstand.core.scheduling.options import LoadOptions
 from troutstand.core.scheduling.serviceshares import DEFAULT_WEIGHT, UNSHARED
--- a/troutstand/core/noticebook.py
+++ b/troutstand/core/noticestore.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from troutstand.core.lives import is_same_incarnation
+from troutstand.core.incarnation import is_same_incarnation
 from troutstand.core.selfreport import BlockReason, SelfReport
 from troutstand.generated.messages import ListedState, TargetNotice
 
--- a/troutstand/core/seenspeeds.py
+++ b/troutstand/core/observedspeeds.py
@@ -5,7 +5,7 @@
 from collections import OrderedDict
 from dataclasses import dataclass, field
 
-from troutstand.core.speed import PrefillSums, MovingAverage
+from troutstand.core.speed import MovingAverage, PrefillSums
 from troutstand.generated.messages import TargetSpeed
 
 # What was seen longer ago than this is not passed on, in seconds (chosen, not measured).
--- a/troutstand/core/scheduler.py
+++ b/troutstand/core/scheduler.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING
 
 from troutstand.core.codes import ResultCode
-from troutstand.core.crashes import MAX_ISOLATED, Suspicion, CrashTracker
+from troutstand.core.crashtracker import MAX_ISOLATED, CrashTracker, Suspicion
 from troutstand.core.estimate import Health
 from troutstand.core.fairqueue import FairQueue, WaitingRequest
 from troutstand.core.ids import RequestId
--- a/troutstand/core/selfreport.py
+++ b/troutstand/core/selfreport.py
@@ -11,8 +11,8 @@
 from enum import Enum
 from typing import TYPE_CHECKING
 
-from troutstand.core.pace import RateLimiter
-from troutstand.core.rest import Backoff
+from troutstand.core.backoff import Backoff
+from troutstand.core.ratelimiter import RateLimiter
 from troutstand.generated.messages import TargetNotice
 
 if TYPE_CHECKING:
--- a/troutstand/core/siteview.py
+++ b/troutstand/core/siteview.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from troutstand.core.lives import is_same_incarnation
+from troutstand.core.incarnation import is_same_incarnation
 from troutstand.core.pool import Pool
 from troutstand.core.rollouts.canary import RolloutView
 from troutstand.core.selfreport import LimitShare, SelfReport
--- a/troutstand/core/targetstate.py
+++ b/troutstand/core/targetstate.py
@@ -9,7 +9,7 @@
 from troutstand.core.rollouts.admission import Admission
 from troutstand.core.scheduling.serviceshares import UNSHARED, ShareTag
 from troutstand.core.selfreport import SelfReport
-from troutstand.core.speed import PrefillFit, PrefillSpeed, PrefillSums, MovingAverage
+from troutstand.core.speed import MovingAverage, PrefillFit, PrefillSpeed, PrefillSums
 from troutstand.generated.messages import ListedState
 
 if TYPE_CHECKING:
--- a/troutstand/daemon/engines.py
+++ b/troutstand/daemon/engines.py
@@ -10,7 +10,7 @@
 
 from troutstand.backends.base import TargetRefusal
 from troutstand.backends.engine import EngineBackend
-from troutstand.core.answer import DONE_EVENT, AnswerEvent, frame_event
+from troutstand.core.answerstream import DONE_EVENT, AnswerEvent, frame_event
 from troutstand.core.codes import ResultCode, Run
 from troutstand.core.errors import TroutstandError
 from troutstand.daemon.refusals import KEY_HEADER, make_envelope
--- a/troutstand/daemon/placement.py
+++ b/troutstand/daemon/placement.py
@@ -10,10 +10,10 @@
 import msgspec
 
 from troutstand.core.codes import ResultCode
-from troutstand.core.crashes import CrashTracker
+from troutstand.core.crashtracker import CrashTracker
 from troutstand.core.errors import TroutstandError
 from troutstand.core.ids import ProcessId
-from troutstand.core.noticebook import NoticeStore
+from troutstand.core.noticestore import NoticeStore
 from troutstand.generated.messages import (
     Finished,
     Grant,
--- a/troutstand/daemon/relay.py
+++ b/troutstand/daemon/relay.py
@@ -10,7 +10,7 @@
 
 from troutstand.backends.base import Call
 from troutstand.backends.engine import EngineBackend, make_answer_id
-from troutstand.core.answer import AnswerEvent, AnswerStream
+from troutstand.core.answerstream import AnswerEvent, AnswerStream
 from troutstand.core.codes import ResultCode, Run
 from troutstand.core.errors import TroutstandError
 from troutstand.util.clock import SuspendWatch, read_clock_s
--- a/troutstand/routing/decisions.py
+++ b/troutstand/routing/decisions.py
@@ -5,13 +5,13 @@
 from typing import TYPE_CHECKING
 
 from troutstand.core.codes import ResultCode
-from troutstand.core.crashes import Suspicion
+from troutstand.core.crashtracker import Suspicion
 from troutstand.generated.messages import Declined, Placed
 
 if TYPE_CHECKING:
-    from troutstand.core.crashes import SuspicionChange
+    from troutstand.core.crashtracker import SuspicionChange
     from troutstand.core.decision import Decision, PlacedInputs
-    from troutstand.core.reach import LinkChange
+    from troutstand.core.reachability import LinkChange
     from troutstand.util.events import EventBus
 
 ALONE = "alone"
--- a/troutstand/routing/heldwork.py
+++ b/troutstand/routing/heldwork.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from troutstand.core.seenspeeds import ObservedSpeeds
+from troutstand.core.observedspeeds import ObservedSpeeds
 from troutstand.generated.messages import Ending, FirstByte, PlacedWork
 
 if TYPE_CHECKING:
--- a/troutstand/routing/placement.py
+++ b/troutstand/routing/placement.py
@@ -12,11 +12,11 @@
 from typing import TYPE_CHECKING
 
 from troutstand.core.codes import ResultCode
-from troutstand.core.crashes import Suspicion, CrashTracker
+from troutstand.core.crashtracker import CrashTracker, Suspicion
 from troutstand.core.decision import decline_quarantined
 from troutstand.core.dispatch import Dispatcher
 from troutstand.core.errors import TroutstandError
-from troutstand.core.noticebook import NoticeStore
+from troutstand.core.noticestore import NoticeStore
 from troutstand.core.quota import QuotaBounds, Quotas
 from troutstand.core.retries import RetryBudget
 from troutstand.generated.messages import (
--- a/troutstand/tests/steps/answer.py
+++ b/troutstand/tests/steps/answer.py
@@ -7,7 +7,7 @@
 
 from behave import given, then, when
 
-from troutstand.core.answer import AnswerStream
+from troutstand.core.answerstream import AnswerStream
 from troutstand.core.errors import TroutstandError
 
 if TYPE_CHECKING:
--- a/troutstand/tests/steps/lives.py
+++ b/troutstand/tests/steps/lives.py
@@ -8,7 +8,7 @@
 import msgspec
 from behave import given, then, when
 
-from troutstand.core.seenspeeds import ObservedSpeeds
+from troutstand.core.observedspeeds import ObservedSpeeds
 from troutstand.generated.messages import Ending, Part, PlacedWork, RoutedWork, TargetSpeed
 from troutstand.tests.steps.dispatch import Desk
 from troutstand.tests.steps.platform import LISTED, load_folder
--- a/troutstand/tests/steps/reach.py
+++ b/troutstand/tests/steps/reach.py
@@ -8,7 +8,7 @@
 
 from troutstand.core.dispatch import Dispatcher
 from troutstand.core.quota import QuotaBounds, Quotas
-from troutstand.core.reach import Link
+from troutstand.core.reachability import Link
 from troutstand.core.retries import RetryBudget
 from troutstand.generated.messages import (
     Ended,
--- a/troutstand/tests/steps/relay.py
+++ b/troutstand/tests/steps/relay.py
@@ -9,7 +9,7 @@
 import msgspec
 from behave import given, then, when
 
-from troutstand.core.noticebook import NoticeStore
+from troutstand.core.noticestore import NoticeStore
 from troutstand.core.selfreport import BlockReason
 from troutstand.generated.configuration import RoutedWorkspace, RouteKind
 from troutstand.generated.messages import Placed, TargetNotice
--- a/troutstand/tests/steps/rest.py
+++ b/troutstand/tests/steps/rest.py
@@ -7,8 +7,8 @@
 import msgspec
 from behave import given, then, when
 
-from troutstand.core.noticebook import NoticeStore
 from troutstand.core.notices import parse_notice
+from troutstand.core.noticestore import NoticeStore
 from troutstand.core.selfreport import BlockReason
 from troutstand.generated.messages import Ending, ListedState, ListedTarget, TargetNotice
 from troutstand.routing.dialect import HeaderNames
--- a/troutstand/tests/steps/takeover.py
+++ b/troutstand/tests/steps/takeover.py
@@ -12,9 +12,9 @@
 
 from troutstand.core.configuration import RouteTable
 from troutstand.core.dispatch import Dispatcher
+from troutstand.core.observedspeeds import ObservedSpeeds
 from troutstand.core.quota import QuotaBounds, Quotas
 from troutstand.core.retries import RetryBudget
-from troutstand.core.seenspeeds import ObservedSpeeds
 from troutstand.generated.messages import (
     Declined,
     Ended,
