--- a/troutstand/core/pool.py
+++ b/troutstand/core/pool.py
@@ -231,7 +231,8 @@
         between_events = min(to_read, float(self.stride * _READ_AT_ONCE_TOKENS))
         pause_s = event_s + reading.per_token_s * between_events
         others = sum(
-            count * estimate_miss_risk(pause_s, limit_s) for limit_s, count in state.pause_counts.items()
+            count * estimate_miss_risk(pause_s, limit_s)
+            for limit_s, count in state.pause_counts.items()
         )
         first_risk = estimate_miss_risk(first_s, waiting.due_s - now_s)
         return PlacementEstimate(first_s, held_s, first_risk, min(1.0, rest_risk), others)
