--- a/troutstand/core/edit.py
+++ b/troutstand/core/edit.py
@@ -1,8 +1,8 @@
-"""Accept an operator's edit as the next version of the table, once.
+"""Accept an operator's edit as the next version of the table, exactly once.
 
-Each version has one write-once register. An edit first reads on until nothing
-newer is decided; it is known there if it was accepted before, stale if the
-table moved underneath it, and proposed otherwise.
+Each version has one write-once register. An edit first reads all decided versions.
+If it is among them, it was accepted before; if the table has moved past the edit's
+base version, it is stale; otherwise it is proposed as the next version.
 """
 
 from __future__ import annotations
@@ -13,35 +13,35 @@
 
 @dataclass(frozen=True)
 class ReadVersion:
-    """Read a version's register from a majority."""
+    """Read a version's register from a quorum."""
 
     version: int
 
 
 @dataclass(frozen=True)
 class ProposeVersion:
-    """Propose the edit as a version."""
+    """Propose the edit as the given version."""
 
     version: int
 
 
 @dataclass(frozen=True)
 class EditAccepted:
-    """Answer that the edit is a version of the table."""
+    """Report that the edit was accepted as the given version."""
 
     version: int
 
 
 @dataclass(frozen=True)
 class EditStale:
-    """Answer that the table moved since the edit began."""
+    """Report that the table has changed since the edit's base version."""
 
     version: int
 
 
 @dataclass(frozen=True)
 class EditOutcomeUnknown:
-    """Answer that the edit's fate is not known; sending it again tells."""
+    """Report that the outcome is unknown; the operator may safely send the edit again."""
 
 
 Action = ReadVersion | ProposeVersion | EditAccepted | EditStale | EditOutcomeUnknown
@@ -49,26 +49,26 @@
 
 @dataclass(frozen=True)
 class VersionEmpty:
-    """A majority holds nothing for the version."""
+    """A quorum has no value for the version."""
 
 
 @dataclass(frozen=True)
 class VersionDecided:
-    """The version's change is decided, and is this edit's."""
+    """The version is decided with the change of the given edit."""
 
     edit_id: str
 
 
 @dataclass(frozen=True)
 class QuorumUnreachable:
-    """No majority answered."""
+    """No quorum answered."""
 
 
 Event = VersionEmpty | VersionDecided | QuorumUnreachable
 
 
 class EditState(Enum):
-    """Tell how far an edit has come."""
+    """Enumerate the states of an edit."""
 
     READING = "reading"
     PROPOSING = "proposing"
@@ -76,57 +76,57 @@
 
 
 class Edit:
-    """Decide what becomes of one sending of an edit.
+    """Run the state machine of one attempt to commit an edit.
 
     Parameters
     ----------
     base
-        The version that the operator edited.
+        The table version that the operator edited.
     version
-        The version that this process knows.
-    known
-        The version that this process knows the edit to have made, if any.
+        The latest version that this process has applied.
+    accepted_version
+        The version that the edit created, if it was accepted before.
     """
 
-    def __init__(self, edit_id: str, base: int, version: int, known: int | None) -> None:
+    def __init__(self, edit_id: str, base: int, version: int, accepted_version: int | None) -> None:
         self.state = EditState.READING
         self._edit_id = edit_id
         self._base = base
         self._version = version
-        self._known = known
+        self._accepted_version = accepted_version
 
     def start(self) -> Action:
-        """Begin to read on from the known version."""
+        """Read the version after the latest applied one."""
         return ReadVersion(self._version + 1)
 
     def receive(self, event: Event) -> Action:
-        """Take what a register told and return what to do next."""
+        """Return the next action after a register's result."""
         match (self.state, event):
             case (EditState.READING, VersionDecided(edit_id)):
-                self._note(edit_id)
+                self._record_decided(edit_id)
                 return self.start()
             case (EditState.READING, VersionEmpty()):
-                return self._judge()
+                return self._propose_or_answer()
             case (EditState.PROPOSING, VersionDecided(edit_id)):
-                self._note(edit_id)
+                self._record_decided(edit_id)
                 return self._answer()
             case _:
                 self.state = EditState.ENDED
                 return EditOutcomeUnknown()
 
-    def _note(self, edit_id: str) -> None:
+    def _record_decided(self, edit_id: str) -> None:
         self._version += 1
         if edit_id == self._edit_id:
-            self._known = self._version
+            self._accepted_version = self._version
 
-    def _judge(self) -> Action:
-        if self._known is not None or self._base != self._version:
+    def _propose_or_answer(self) -> Action:
+        if self._accepted_version is not None or self._base != self._version:
             return self._answer()
         self.state = EditState.PROPOSING
         return ProposeVersion(self._version + 1)
 
     def _answer(self) -> Action:
         self.state = EditState.ENDED
-        if self._known is not None:
-            return EditAccepted(self._known)
+        if self._accepted_version is not None:
+            return EditAccepted(self._accepted_version)
         return EditStale(self._version)
--- a/troutstand/core/record.py
+++ b/troutstand/core/record.py
@@ -1,7 +1,6 @@
 """Define the base classes of generated records.
 
-msgspec structs stand in for the house style's data classes: they keep the
-schema's ranges and lengths, and `match` works on them as on data classes.
+The records are msgspec structs, which carry the ranges and lengths of the schema.
 """
 
 from __future__ import annotations
@@ -10,8 +9,8 @@
 
 
 class Record(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Carry one message; unknown fields of a newer peer are passed over."""
+    """Represent a message; unknown fields, sent by newer peers, are ignored."""
 
 
 class StrictRecord(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Carry settings or a table row; unknown fields are an error."""
+    """Represent settings or a table row; unknown fields are rejected."""
--- a/troutstand/core/table.py
+++ b/troutstand/core/table.py
@@ -1,4 +1,4 @@
-"""Hold the operators' table and apply accepted changes to it."""
+"""Store the operators' table and apply accepted changes to it."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     RowKind.model: Model,
 }
 _KINDS = {row_class: kind for kind, row_class in ROW_CLASSES.items()}
-# Edit ids are kept for more than a week at the letter's 12,000 changes a day.
+# Number of edit ids kept to recognize edits that are sent again.
 MAX_EDIT_IDS = 100_000
 
 
@@ -43,17 +43,17 @@
 
 
 def get_row_id(row: Row) -> RowId:
-    """Return what identifies a row."""
+    """Return the identifier of a row."""
     return RowId(_KINDS[type(row)], row.name)
 
 
 def name_version_register(version: int) -> RegisterName:
-    """Name the register that holds one version's change."""
+    """Return the name of the register that stores a version's change."""
     return RegisterName(f"table/{version}")
 
 
 class RowDifference(NamedTuple):
-    """Show one row before and after."""
+    """Represent a row before and after a change; None where it does not exist."""
 
     row_id: RowId
     before: Row | None
@@ -61,7 +61,7 @@
 
 
 def diff_rows(before: dict[RowId, Row], after: dict[RowId, Row]) -> list[RowDifference]:
-    """List the rows that differ, in order of name."""
+    """List the rows that differ, sorted by identifier."""
     names = sorted(set(before) | set(after))
     return [
         RowDifference(name, before.get(name), after.get(name))
@@ -73,7 +73,7 @@
 def _check_workspace(row: Workspace, rows: dict[RowId, Row]) -> str | None:
     if RowId(RowKind.tier, row.tier) in rows:
         return None
-    return f"workspace {row.name}: tier {row.tier!r} is not in the table"
+    return f"workspace {row.name}: tier {row.tier!r} does not exist in the table"
 
 
 def _check_target(row: Target, rows: dict[RowId, Row]) -> str | None:
@@ -81,7 +81,7 @@
     missing = [name for name in row.serves if RowId(kind, name) not in rows]
     if not missing:
         return None
-    return f"target {row.name}: {kind.value} {missing[0]!r} is not in the table"
+    return f"target {row.name}: {kind.value} {missing[0]!r} does not exist in the table"
 
 
 def _check_ranks(rows: dict[RowId, Row]) -> list[str]:
@@ -97,28 +97,28 @@
 
 
 def check_rows(rows: dict[RowId, Row]) -> list[str]:
-    """List what is wrong between the rows of a whole table."""
+    """List the violated constraints between the rows of a complete table."""
     problems = _check_ranks(rows)
     tokens: dict[str, str] = {}
     for row in rows.values():
-        found: str | None = None
+        problem: str | None = None
         match row:
             case Workspace():
-                found = _check_workspace(row, rows)
+                problem = _check_workspace(row, rows)
                 if row.token_sha256 in tokens:
-                    found = f"workspaces {tokens[row.token_sha256]} and {row.name} share a token"
+                    problem = f"workspaces {tokens[row.token_sha256]} and {row.name} share a token"
                 tokens[row.token_sha256] = row.name
             case Target():
-                found = _check_target(row, rows)
+                problem = _check_target(row, rows)
             case _:
                 pass
-        if found:
-            problems.append(found)
+        if problem:
+            problems.append(problem)
     return problems
 
 
 class Table:
-    """Hold one version of the table; versions only move forward."""
+    """Store the latest applied version of the table; versions only increase."""
 
     def __init__(self) -> None:
         self.version = Version(0)
@@ -130,31 +130,31 @@
         return {row.name: row for row in self.rows.values() if isinstance(row, row_class)}
 
     def find_edit(self, edit_id: str) -> Version | None:
-        """Return the version that an edit made, if it was accepted."""
+        """Return the version that an edit created, if it was accepted."""
         version = self._edits.get(edit_id)
         return None if version is None else Version(version)
 
     def preview(self, change: Change) -> dict[RowId, Row]:
-        """Return the rows as they would stand after a change.
+        """Return the rows that a change would produce.
 
         Raises
         ------
         ExceptionGroup
-            Of TroutstandError TABLE_INVALID, one for each fault.
+            Of TroutstandError TABLE_INVALID, one for each violation.
         """
         rows = dict(self.rows)
-        _edit_rows(rows, change)
+        _apply_to_rows(rows, change)
         problems = check_rows(rows)
         if problems:
             errors = [TroutstandError(ResultCode.TABLE_INVALID, text) for text in problems]
-            raise ExceptionGroup("the table would be invalid", errors)
+            raise ExceptionGroup("the change would make the table invalid", errors)
         return rows
 
     def apply(self, version: int, change: Change) -> bool:
-        """Apply the next version's change; tell whether it was the next."""
+        """Apply a change and return True, or return False if it is not the next version."""
         if version != self.version + 1:
             return False
-        _edit_rows(self.rows, change)
+        _apply_to_rows(self.rows, change)
         self.version = Version(version)
         self._edits[change.edit_id] = version
         while len(self._edits) > MAX_EDIT_IDS:
@@ -162,13 +162,13 @@
         return True
 
     def pack(self) -> bytes:
-        """Pack the whole table with its edit ids."""
+        """Encode the complete table with its edit ids."""
         change = Change("snapshot", 0, list(self.rows.values()), [])
         edits = [Change(edit, version, [], []) for edit, version in self._edits.items()]
         return encode_record([change, *edits])
 
     def unpack(self, version: int, packed: bytes) -> bool:
-        """Replace the table by a packed one if that is newer."""
+        """Replace the table by an encoded one and return True if that is newer."""
         if version <= self.version:
             return False
         snapshot, *edits = decode_record(packed, list[Change])
@@ -178,7 +178,7 @@
         return True
 
 
-def _edit_rows(rows: dict[RowId, Row], change: Change) -> None:
+def _apply_to_rows(rows: dict[RowId, Row], change: Change) -> None:
     for key in change.deletes:
         rows.pop(RowId(key.kind, key.name), None)
     for row in change.upserts:
@@ -186,7 +186,7 @@
 
 
 def make_change(edit_id: str, base: int, differences: list[RowDifference]) -> Change:
-    """Make the change that carries out differences."""
+    """Build the change that produces the given differences."""
     upserts = [item.after for item in differences if item.after is not None]
     deletes = [
         RowKey(item.row_id.kind, item.row_id.name) for item in differences if item.after is None
