--- a/troutstand/core/configuration.py
+++ b/troutstand/core/configuration.py
@@ -1,4 +1,4 @@
-"""Check a whole configuration and answer what it says of a request."""
+"""Validate a configuration and look up routes, services and workspaces in it."""
 
 from __future__ import annotations
 
@@ -18,65 +18,67 @@
         RoutedWorkspace,
     )
 
-_HASH_SPAN = 1 << 64
+_HASH_RANGE = 1 << 64
 
 
 def check_configuration(configuration: Configuration) -> None:
-    """Check what the schema cannot say.
+    """Check the constraints that the schema cannot express.
 
     Raises
     ------
     ExceptionGroup
-        Of TroutstandError with CONFIGURATION_INVALID, one for each fault.
+        Of TroutstandError with CONFIGURATION_INVALID, one for each violation.
     """
-    faults = [
-        *_list_split_faults(configuration),
-        *_list_place_faults(configuration),
-        *_list_key_faults(configuration),
+    problems = [
+        *_list_split_problems(configuration),
+        *_list_duplicate_routes(configuration),
+        *_list_shared_keys(configuration),
     ]
-    if faults:
-        errors = [TroutstandError(ResultCode.CONFIGURATION_INVALID, fault) for fault in faults]
-        raise ExceptionGroup("the configuration is wrong", errors)
+    if problems:
+        errors = [
+            TroutstandError(ResultCode.CONFIGURATION_INVALID, problem) for problem in problems
+        ]
+        raise ExceptionGroup("invalid configuration", errors)
 
 
-def _list_split_faults(configuration: Configuration) -> list[str]:
+def _list_split_problems(configuration: Configuration) -> list[str]:
     services = {service.name for service in configuration.services}
-    faults: list[str] = []
+    problems: list[str] = []
     for route in configuration.routes:
         unknown = [part.service for part in route.split if part.service not in services]
-        faults.extend(f"route {route.name!r}: no service {name!r}" for name in unknown)
+        problems.extend(f"route {route.name!r}: unknown service {name!r}" for name in unknown)
         if sum(part.weight for part in route.split) <= 0:
-            faults.append(f"route {route.name!r}: the weights sum to 0, more is needed")
-    return faults
+            problems.append(f"route {route.name!r}: the weights must sum to more than 0")
+    return problems
 
 
-def _list_place_faults(configuration: Configuration) -> list[str]:
-    places = Counter((_fold_host(r.host), r.prefix) for r in configuration.routes)
+def _list_duplicate_routes(configuration: Configuration) -> list[str]:
+    route_counts = Counter((_normalize_host(r.host), r.prefix) for r in configuration.routes)
     return [
-        f"{count} routes at host {host!r} and prefix {prefix!r}, one is accepted"
-        for (host, prefix), count in places.items()
+        f"{count} routes with host {host!r} and prefix {prefix!r}, only one is allowed"
+        for (host, prefix), count in route_counts.items()
         if count > 1
     ]
 
 
-def _list_key_faults(configuration: Configuration) -> list[str]:
+def _list_shared_keys(configuration: Configuration) -> list[str]:
     owners: dict[str, set[str]] = {}
     for workspace in configuration.workspaces:
         for key in workspace.keys:
             owners.setdefault(key, set()).add(workspace.name)
     return [
-        f"workspaces {', '.join(sorted(names))} share a key, one owner is accepted"
+        f"workspaces {', '.join(sorted(names))} share a key, only one may own it"
         for names in owners.values()
         if len(names) > 1
     ]
 
 
-def _fold_host(host: str) -> str:
+def _normalize_host(host: str) -> str:
     return host.partition(":")[0].lower()
 
 
 class RouteTable:
-    """Answer look-ups in one configuration."""
+    """Look up routes, services and workspaces in one configuration."""
 
     def __init__(self, configuration: Configuration) -> None:
         self.configuration = configuration
@@ -85,21 +87,21 @@
         self._owners = {key: w for w in configuration.workspaces for key in w.keys}
         self._routes: dict[str, dict[str, Route]] = {}
         for route in configuration.routes:
-            self._routes.setdefault(_fold_host(route.host), {})[route.prefix] = route
+            self._routes.setdefault(_normalize_host(route.host), {})[route.prefix] = route
 
     @property
     def version(self) -> int:
-        """Return the operator's number of this configuration."""
+        """Return the version that the operator gave the configuration."""
         return self.configuration.version
 
     @property
     def requires_keys(self) -> bool:
-        """Tell whether requests carry keys at all."""
+        """Return whether requests must carry a workspace key."""
         return bool(self.configuration.workspaces)
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix of a path."""
-        prefixes = self._routes.get(_fold_host(host))
+        """Return the route with the longest matching prefix of a path."""
+        prefixes = self._routes.get(_normalize_host(host))
         if prefixes is None:
             return None
         end = len(path)
@@ -107,7 +109,7 @@
             route = prefixes.get(path[:end])
             if route is not None:
                 return route
-            # Prefixes end with a slash, so only those places are looked at.
+            # Prefixes end with a slash, so only these positions can match.
             end = path.rfind("/", 0, end - 1) + 1
         return prefixes.get("")
 
@@ -117,11 +119,11 @@
 
 
 def pick_service(route: Route, request: str) -> str:
-    """Choose a service by its weight; one request always gets the same."""
+    """Choose a service by weight; the same request id always yields the same service."""
     if len(route.split) == 1:
         return route.split[0].service
     total = sum(part.weight for part in route.split)
-    point = xxhash.xxh3_64_intdigest(request.encode()) / _HASH_SPAN * total
+    point = xxhash.xxh3_64_intdigest(request.encode()) / _HASH_RANGE * total
     for part in route.split:
         if point < part.weight:
             return part.service
