--- a/troutstand/core/codec.py
+++ b/troutstand/core/codec.py
@@ -1,4 +1,4 @@
-"""Turn records into CBOR (RFC 8949) and back, checked against the schema."""
+"""Encode records as CBOR (RFC 8949) and decode them, validated against the schema."""
 
 from __future__ import annotations
 
@@ -18,29 +18,29 @@
     return cbor2.dumps(msgspec.to_builtins(record, builtin_types=(bytes,)))
 
 
-def decode_record(data: bytes, kind: type[T] | Any) -> T:
+def decode_record(data: bytes, record_type: type[T] | Any) -> T:
     """Decode CBOR into a record.
 
     Raises
     ------
     TroutstandError
-        LINK_MALFORMED where the bytes are no CBOR or fail the schema.
+        LINK_MALFORMED if the bytes are not valid CBOR or violate the schema.
     """
     try:
-        return convert_record(cbor2.loads(data), kind)
+        return convert_record(cbor2.loads(data), record_type)
     except (cbor2.CBORDecodeError, ValueError, RecursionError, MemoryError) as error:
         raise TroutstandError(ResultCode.LINK_MALFORMED, str(error)) from error
 
 
-def convert_record(plain: object, kind: type[T] | Any) -> T:
-    """Check plain data against a record's schema.
+def convert_record(data: object, record_type: type[T] | Any) -> T:
+    """Convert plain data to a record, validated against its schema.
 
     Raises
     ------
     TroutstandError
-        LINK_MALFORMED where the data fails the schema.
+        LINK_MALFORMED if the data violates the schema.
     """
     try:
-        return msgspec.convert(plain, type=kind, builtin_types=(bytes,))
+        return msgspec.convert(data, type=record_type, builtin_types=(bytes,))
     except msgspec.ValidationError as error:
         raise TroutstandError(ResultCode.LINK_MALFORMED, str(error)) from error
--- a/troutstand/core/stored.py
+++ b/troutstand/core/stored.py
@@ -1,4 +1,4 @@
-"""Name the union of what a keeper's files hold."""
+"""Define the union of the records in a keeper's data files."""
 
 from __future__ import annotations
 
