--- a/troutstand/core/contacts.py
+++ b/troutstand/core/contacts.py
@@ -1,4 +1,4 @@
-"""Keep what is known of the other processes of a site, and forget the dead."""
+"""Track the other processes of a site and expire those that are no longer heard from."""
 
 from __future__ import annotations
 
@@ -19,71 +19,75 @@
 
 @dataclass(frozen=True)
 class KnownContact:
-    """Keep a process's latest contact and when it was last heard, in seconds."""
+    """Pair a process's latest contact with the time it was last heard from."""
 
     contact: Contact
     last_heard_s: float
 
 
 class ContactRegistry:
-    """Hold the freshest contact of every process.
+    """Keep the most recent contact of every process.
 
-    A contact passed on by others counts from when they heard it, so that
-    word of a dead process fades although it still travels.
+    A contact relayed by a peer keeps the age that the peer reports, so that a failed
+    process expires although peers still relay its contact.
     """
 
     def __init__(self) -> None:
         self._known: dict[ProcessId, KnownContact] = {}
 
     def update(self, contact: Contact, now_s: float) -> bool:
-        """Take a contact where it is fresher; tell whether the process is new."""
+        """Store a contact if it is more recent; return whether the process is new."""
         process = ProcessId(contact.process)
-        heard_s = now_s - contact.age_ms / _MILLISECONDS
-        held = self._known.get(process)
-        if now_s - heard_s > CONTACT_TTL_S or (held is not None and held.last_heard_s >= heard_s):
+        last_heard_s = now_s - contact.age_ms / _MILLISECONDS
+        previous = self._known.get(process)
+        if now_s - last_heard_s > CONTACT_TTL_S or (
+            previous is not None and previous.last_heard_s >= last_heard_s
+        ):
             return False
-        self._known[process] = KnownContact(contact, heard_s)
-        return held is None
+        self._known[process] = KnownContact(contact, last_heard_s)
+        return previous is None
 
     def expire(self, now_s: float) -> list[ProcessId]:
-        """Drop and return the processes that were silent for long."""
-        gone = [p for p, known in self._known.items() if now_s - known.last_heard_s > CONTACT_TTL_S]
-        for process in gone:
+        """Remove and return the processes whose contact is older than the time to live."""
+        expired = [
+            p for p, known in self._known.items() if now_s - known.last_heard_s > CONTACT_TTL_S
+        ]
+        for process in expired:
             del self._known[process]
-        return gone
+        return expired
 
     def find(self, process: str) -> KnownContact | None:
-        """Return what is known of a process."""
+        """Return the contact of a process, or None if there is none."""
         return self._known.get(ProcessId(process))
 
     def get_age_s(self, process: str, now_s: float) -> float:
-        """Return the seconds since a process was heard; infinite where it never was."""
+        """Return the seconds since a process was last heard from, or infinity if never."""
         known = self.find(process)
         return now_s - known.last_heard_s if known else float("inf")
 
     def list_by_role(self, role: str) -> list[ProcessId]:
-        """Return the known processes of a role, in a fixed order."""
+        """Return the known processes of a role, sorted by id."""
         return sorted(p for p, known in self._known.items() if known.contact.role == role)
 
     def digest(self, roles: Iterable[str]) -> str:
-        """Return what tells sets of processes of some roles apart."""
+        """Return a hash of the processes of some roles and their incarnations."""
         wanted = set(roles)
-        named = sorted(
+        members = sorted(
             f"{p} {known.contact.incarnation}"
             for p, known in self._known.items()
             if known.contact.role in wanted
         )
-        return xxhash.xxh3_64_hexdigest("\n".join(named).encode())
+        return xxhash.xxh3_64_hexdigest("\n".join(members).encode())
 
     def refresh(self, processes: Iterable[str], now_s: float) -> None:
-        """Count processes as heard now, since somebody who hears them still lists them."""
+        """Set the last-heard time of processes that a peer still lists to now."""
         for process in processes:
             known = self.find(process)
             if known is not None:
                 self._known[ProcessId(process)] = KnownContact(known.contact, now_s)
 
     def export(self, roles: Iterable[str], now_s: float) -> list[Contact]:
-        """Return the contacts of some roles with their present age."""
+        """Return the contacts of some roles with their current age."""
         wanted = set(roles)
         return [
             _with_age(known.contact, now_s - known.last_heard_s)
