--- a/troutstand/core/clock.py
+++ b/troutstand/core/clock.py
@@ -1,4 +1,4 @@
-"""Stamp events so that those of all processes sort in causal order.
+"""Timestamp events so that the events of all processes sort in causal order.
 
 The hybrid logical clock is that of Kulkarni et al., "Logical Physical Clocks"
 (OPODIS 2014).
@@ -16,23 +16,23 @@
 
 
 class Stamp(NamedTuple):
-    """Order an event: wall milliseconds first, then a counter."""
+    """Represent a hybrid timestamp: wall-clock milliseconds and a counter."""
 
     wall_ms: int
     counter: int
 
     def pack(self) -> int:
-        """Pack the stamp into one integer that sorts alike."""
+        """Pack the stamp into one integer with the same order."""
         return (self.wall_ms << _COUNTER_BITS) | self.counter
 
 
 def unpack_stamp(packed: int) -> Stamp:
-    """Undo `Stamp.pack`."""
+    """Unpack an integer made by `Stamp.pack`."""
     return Stamp(packed >> _COUNTER_BITS, packed & ((1 << _COUNTER_BITS) - 1))
 
 
 class HybridClock:
-    """Issue stamps that never go back, and pass those received."""
+    """Issue strictly increasing stamps that are later than all received ones."""
 
     def __init__(self, read_wall_s: WallClock) -> None:
         self._read_wall_s = read_wall_s
@@ -48,6 +48,6 @@
         return self._last
 
     def receive(self, packed: int) -> Stamp:
-        """Pass a received stamp and return that of the receipt."""
+        """Advance past a received stamp and return the stamp of its receipt."""
         self._last = max(self._last, unpack_stamp(packed))
         return self.tick()
--- a/troutstand/core/errors.py
+++ b/troutstand/core/errors.py
@@ -1,4 +1,4 @@
-"""Carry a numbered result as an exception."""
+"""Define the exception that carries a result code."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
     Parameters
     ----------
     code
-        The number that callers and operators see.
+        The result code reported to callers and operators.
     detail
-        The bad value and what is accepted.
+        The invalid value and what is accepted; the text of the code if empty.
     run
-        Whether the request was run, where that is known.
+        Whether the request was run.
     retry_after_s
-        When to come back; None where coming back is of no use.
+        Seconds after which to retry; None if a retry is useless.
     """
 
     def __init__(
@@ -36,10 +36,10 @@
 
 
 def flatten_group(error: BaseException) -> list[BaseException]:
-    """List the single errors of an exception group, however nested."""
+    """List the leaf exceptions of a nested exception group."""
     if not isinstance(error, BaseExceptionGroup):
         return [error]
-    found: list[BaseException] = []
-    for inner in error.exceptions:
-        found.extend(flatten_group(inner))
-    return found
+    leaves: list[BaseException] = []
+    for nested in error.exceptions:
+        leaves.extend(flatten_group(nested))
+    return leaves
--- a/troutstand/core/follower.py
+++ b/troutstand/core/follower.py
@@ -1,4 +1,4 @@
-"""Follow the line of accepted table versions, and serve it on to peers."""
+"""Replicate the log of accepted table versions and serve it to peers."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 if TYPE_CHECKING:
     from troutstand.core.ids import Version
 
-# A peer further behind is sent the whole table.
+# A peer that is further behind is sent a snapshot.
 MAX_KEPT_CHANGES = 2000
-# Changes are sent on in messages of about this many bytes.
-PAGE_BYTES = 512 * 1024
+# Size limit of the changes in one message; a single larger change is sent alone.
+MAX_PAGE_BYTES = 512 * 1024
 
 
 class Follower:
-    """Hold the table and its latest changes; versions only move forward."""
+    """Hold the table and its latest changes; versions only increase."""
 
     def __init__(self) -> None:
         self.table = Table()
@@ -28,19 +28,19 @@
 
     @property
     def version(self) -> Version:
-        """Return the version in force."""
+        """Return the latest applied version."""
         return self.table.version
 
     def list_unapplied(self, message: Changes) -> list[tuple[int, bytes]]:
-        """Return the changes of a message that come next, in order."""
-        skipped = self.version + 1 - message.first
-        if skipped < 0:
+        """Return the changes of a message that are newer than the table, in order."""
+        skipped_count = self.version + 1 - message.first
+        if skipped_count < 0:
             return []
         numbered = enumerate(message.changes, start=message.first)
         return [(version, data) for version, data in numbered if version > self.version]
 
     def apply(self, version: int, data: bytes) -> bool:
-        """Apply the next change; tell whether it was the next."""
+        """Apply a change and return True, or return False if it is not the next version."""
         if not self.table.apply(version, decode_record(data, Change)):
             return False
         self._changes[version] = data
@@ -49,18 +49,18 @@
         return True
 
     def install(self, version: int, packed: bytes) -> bool:
-        """Replace the table by a newer whole one."""
+        """Replace the table by an encoded snapshot and return True if that is newer."""
         if not self.table.unpack(version, packed):
             return False
         self._changes.clear()
         return True
 
     def get_change(self, version: int) -> bytes | None:
-        """Return a version's change if it is still kept."""
+        """Return a version's encoded change, or None if it is no longer kept."""
         return self._changes.get(version)
 
     def answer(self, ask: ChangesAsk) -> Changes | Snapshot:
-        """Return what comes after a version."""
+        """Return the changes after the version that a peer has, or a snapshot."""
         first = ask.after + 1
         if first <= self.version and first not in self._changes:
             return Snapshot(self.version, self.table.pack())
@@ -69,7 +69,7 @@
         for version in range(first, self.version + 1):
             data = self._changes[version]
             size += len(data)
-            if page and size > PAGE_BYTES:
+            if page and size > MAX_PAGE_BYTES:
                 break
             page.append(data)
         return Changes(first, self.version, page)
--- a/troutstand/core/ids.py
+++ b/troutstand/core/ids.py
@@ -1,4 +1,4 @@
-"""Name the ids that travel between processes."""
+"""Define the types of the identifiers exchanged between processes."""
 
 from __future__ import annotations
 
@@ -13,5 +13,5 @@
 
 
 def name_process(host: str, role: str) -> ProcessId:
-    """Name the process that plays a role on a host."""
+    """Return the id of the process with a role on a host."""
     return ProcessId(f"{host}.{role}")
--- a/troutstand/core/reports.py
+++ b/troutstand/core/reports.py
@@ -1,4 +1,4 @@
-"""Define what processes report to operators."""
+"""Define the JSON bodies of the administration API."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class HostReport(msgspec.Struct):
-    """Tell what one process knows of a peer."""
+    """Report the state of a peer, as one process knows it."""
 
     process: str
     state: str
@@ -19,7 +19,7 @@
 
 
 class StatusReport(msgspec.Struct):
-    """Tell what a process is and knows."""
+    """Report the state of a process."""
 
     process: str
     role: str
@@ -43,7 +43,7 @@
 
 
 class TargetReport(msgspec.Struct):
-    """Tell what the scheduler knows of a target."""
+    """Report the state of a target, as its scheduler knows it."""
 
     name: str
     protocol: str
@@ -56,7 +56,7 @@
 
 
 class TargetsReport(msgspec.Struct):
-    """Tell what the scheduler knows of all targets of its failure domain."""
+    """Report all targets of a scheduler's failure domain."""
 
     failure_domain: str
     waiting: int
@@ -65,46 +65,46 @@
 
 
 class TableReport(msgspec.Struct):
-    """Carry a whole table."""
+    """Report the complete table."""
 
     version: int
     rows: list[Workspace | Tier | Target | Service | Model]
 
 
 class AcceptReport(msgspec.Struct):
-    """Tell the version that an edit made."""
+    """Report the version that an accepted edit created."""
 
     version: int
     edit_id: str
 
 
 class AcceptCall(msgspec.Struct):
-    """Carry an operator's edit."""
+    """Submit an operator's edit."""
 
     change: Change
 
 
 class DrainReport(msgspec.Struct):
-    """Tell how a drain goes."""
+    """Report the progress of a drain."""
 
     state: str
     open: int
 
 
 class EventReport(msgspec.Struct):
-    """Carry the log lines of one request."""
+    """Report the log lines of one request."""
 
     lines: list[str]
 
 
 class KeepersReport(msgspec.Struct):
-    """Tell the keeper set."""
+    """Report the keeper set."""
 
     epoch: int
     members: list[str]
 
 
 class ReplaceCall(msgspec.Struct):
-    """Name the keeper whose new disk takes the lost one's place."""
+    """Request that a keeper's new disk replaces its lost one."""
 
     process: str
