--- a/troutstand/core/codes.py
+++ b/troutstand/core/codes.py
@@ -1,4 +1,4 @@
-"""Number every result that callers, operators and programs are told."""
+"""Define the result codes reported to callers, operators and programs."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 
 class Run(Enum):
-    """Say whether a refused request was run."""
+    """Enumerate whether a refused request was run."""
 
     NO = "no"
     UNKNOWN = "unknown"
 
 
 class ResultCode(IntEnum):
-    """Number a result; docs/RESULT-CODES.md tables them."""
+    """Enumerate the result codes; docs/RESULT-CODES.md lists them."""
 
     OK = 0
 
@@ -94,96 +94,110 @@
     INTERNAL = 9001
 
 
-class Meaning(NamedTuple):
-    """Describe one result code."""
+class CodeInfo(NamedTuple):
+    """Describe a result code."""
 
     http_status: int
     text: str
     exit_code: int
 
 
-_MEANINGS: dict[ResultCode, Meaning] = {
-    ResultCode.OK: Meaning(200, "done", 0),
-    ResultCode.SETTINGS_UNREADABLE: Meaning(500, "the settings file cannot be read as JSON", 10),
-    ResultCode.SETTINGS_INVALID: Meaning(500, "a settings field is unknown or out of range", 10),
-    ResultCode.SETTINGS_DUPLICATE_HOST: Meaning(500, "two peers share a host id and role", 10),
-    ResultCode.SETTINGS_ROLE: Meaning(500, "a field that the role needs is missing", 10),
-    ResultCode.DATA_FOLDER_FOREIGN: Meaning(500, "the data folder belongs to another host", 11),
-    ResultCode.DATA_FOLDER_UNFORMATTED: Meaning(500, "the data folder is not formatted", 11),
-    ResultCode.ADDRESS_IN_USE: Meaning(500, "a listen address cannot be opened", 12),
-    ResultCode.DATA_FOLDER_IN_USE: Meaning(500, "another process holds the data folder", 11),
-    ResultCode.BODY_MALFORMED: Meaning(400, "the body is not the JSON that the path takes", 20),
-    ResultCode.BODY_TOO_LARGE: Meaning(413, "the body or a header is over its limit", 20),
-    ResultCode.FIELD_INVALID: Meaning(400, "a field has a wrong type or value", 20),
-    ResultCode.TOKEN_UNKNOWN: Meaning(401, "the bearer token belongs to no workspace", 21),
-    ResultCode.TIER_FORBIDDEN: Meaning(403, "the tier is above the workspace's own", 21),
-    ResultCode.MODEL_UNKNOWN: Meaning(404, "no such model in the table", 22),
-    ResultCode.SERVICE_UNKNOWN: Meaning(404, "no such service in the table", 22),
-    ResultCode.KEY_INVALID: Meaning(400, "the Idempotency-Key is empty or too long", 20),
-    ResultCode.PATH_UNKNOWN: Meaning(404, "no such path", 22),
-    ResultCode.KEY_REUSED: Meaning(422, "the Idempotency-Key named another request before", 20),
-    ResultCode.SHED_OVERLOAD: Meaning(
-        429, "shed in favour of a higher tier or for want of room", 30
+_CODE_INFOS: dict[ResultCode, CodeInfo] = {
+    ResultCode.OK: CodeInfo(200, "done", 0),
+    ResultCode.SETTINGS_UNREADABLE: CodeInfo(500, "the settings file cannot be read as JSON", 10),
+    ResultCode.SETTINGS_INVALID: CodeInfo(500, "a settings field is unknown or out of range", 10),
+    ResultCode.SETTINGS_DUPLICATE_HOST: CodeInfo(500, "two peers share a host id and role", 10),
+    ResultCode.SETTINGS_ROLE: CodeInfo(500, "a field that the role needs is missing", 10),
+    ResultCode.DATA_FOLDER_FOREIGN: CodeInfo(500, "the data folder belongs to another host", 11),
+    ResultCode.DATA_FOLDER_UNFORMATTED: CodeInfo(500, "the data folder is not formatted", 11),
+    ResultCode.ADDRESS_IN_USE: CodeInfo(500, "a listen address cannot be opened", 12),
+    ResultCode.DATA_FOLDER_IN_USE: CodeInfo(500, "another process uses the data folder", 11),
+    ResultCode.BODY_MALFORMED: CodeInfo(400, "the body is not valid JSON for this path", 20),
+    ResultCode.BODY_TOO_LARGE: CodeInfo(413, "the body or a header exceeds its limit", 20),
+    ResultCode.FIELD_INVALID: CodeInfo(400, "a field has a wrong type or value", 20),
+    ResultCode.TOKEN_UNKNOWN: CodeInfo(401, "the bearer token belongs to no workspace", 21),
+    ResultCode.TIER_FORBIDDEN: CodeInfo(403, "the tier is above the workspace's own", 21),
+    ResultCode.MODEL_UNKNOWN: CodeInfo(404, "no such model in the table", 22),
+    ResultCode.SERVICE_UNKNOWN: CodeInfo(404, "no such service in the table", 22),
+    ResultCode.KEY_INVALID: CodeInfo(400, "the Idempotency-Key is empty or too long", 20),
+    ResultCode.PATH_UNKNOWN: CodeInfo(404, "no such path", 22),
+    ResultCode.KEY_REUSED: CodeInfo(422, "the Idempotency-Key was used for another request", 20),
+    ResultCode.SHED_OVERLOAD: CodeInfo(
+        429, "shed in favour of a higher tier or for lack of capacity", 30
     ),
-    ResultCode.SHED_DEADLINE: Meaning(503, "no target can meet the request's deadline", 30),
-    ResultCode.WORKSPACE_LIMIT: Meaning(429, "the workspace is at its limit", 30),
-    ResultCode.QUEUE_FULL: Meaning(429, "too many requests wait", 30),
-    ResultCode.PREEMPTED: Meaning(503, "cancelled in progress in favour of a higher tier", 30),
-    ResultCode.DRAINING: Meaning(503, "this host is stopping; use another", 31),
-    ResultCode.STARTING: Meaning(503, "this host does not know its configuration yet", 31),
-    ResultCode.NO_TARGET: Meaning(503, "no live target serves this", 31),
-    ResultCode.NO_SCHEDULER: Meaning(503, "the failure domain has no reachable scheduler", 31),
-    ResultCode.HISTORY_UNKNOWN: Meaning(503, "which targets had this request is not known", 31),
-    ResultCode.RETRY_BUDGET: Meaning(503, "too many requests were sent again lately", 31),
-    ResultCode.REQUEST_QUARANTINED: Meaning(
-        503, "targets ended one after the other as they ran this request", 31
+    ResultCode.SHED_DEADLINE: CodeInfo(503, "no target can meet the request's deadline", 30),
+    ResultCode.WORKSPACE_LIMIT: CodeInfo(429, "the workspace has reached its limit", 30),
+    ResultCode.QUEUE_FULL: CodeInfo(429, "too many requests are waiting", 30),
+    ResultCode.PREEMPTED: CodeInfo(503, "cancelled while running in favour of a higher tier", 30),
+    ResultCode.DRAINING: CodeInfo(503, "this host is stopping; use another", 31),
+    ResultCode.STARTING: CodeInfo(503, "this host has no configuration yet", 31),
+    ResultCode.NO_TARGET: CodeInfo(503, "no live target serves this request", 31),
+    ResultCode.NO_SCHEDULER: CodeInfo(503, "the failure domain has no reachable scheduler", 31),
+    ResultCode.HISTORY_UNKNOWN: CodeInfo(
+        503, "the targets that received this request are unknown", 31
     ),
-    ResultCode.TARGETS_RESTING: Meaning(
-        503, "all targets that serve this asked this host not to send for a while", 31
+    ResultCode.RETRY_BUDGET: CodeInfo(503, "the retry budget is exhausted", 31),
+    ResultCode.REQUEST_QUARANTINED: CodeInfo(
+        503, "several targets ended while running this request", 31
     ),
-    ResultCode.TARGETS_LIMITED: Meaning(
-        503, "all targets that serve this take only so many requests a second", 31
+    ResultCode.TARGETS_RESTING: CodeInfo(
+        503, "all targets for this request asked this host to back off", 31
     ),
-    ResultCode.COMMAND_UNAVAILABLE: Meaning(503, "no majority of keepers can be reached", 40),
-    ResultCode.COMMAND_OUTCOME_UNKNOWN: Meaning(409, "the command may have run; it is final", 41),
-    ResultCode.COMMAND_NOT_RUN: Meaning(503, "the command was not run; it may be sent again", 42),
-    ResultCode.COMMAND_STILL_RUNNING: Meaning(409, "the command runs; ask again with its key", 43),
-    ResultCode.TARGET_UNREACHABLE: Meaning(502, "the target could not be reached", 50),
-    ResultCode.TARGET_FAULT: Meaning(502, "the target answered with a fault", 50),
-    ResultCode.ANSWER_CUT: Meaning(502, "the answer broke off and could not be resumed", 51),
-    ResultCode.ANSWER_FOREIGN: Meaning(502, "the target answered for another request", 51),
-    ResultCode.TARGET_TIMEOUT: Meaning(504, "the target did not answer in time", 52),
-    ResultCode.ANSWER_TOO_LARGE: Meaning(502, "the answer is over its limit", 51),
-    ResultCode.TABLE_STALE: Meaning(409, "the table changed since the edit began", 60),
-    ResultCode.TABLE_INVALID: Meaning(400, "a row of the table is invalid", 61),
-    ResultCode.TABLE_UNKNOWN: Meaning(503, "the edit's fate is not known; send it again", 62),
-    ResultCode.OPERATOR_TOKEN: Meaning(401, "the operator token is wrong", 63),
-    ResultCode.NOT_FOUND: Meaning(404, "nothing of that name", 64),
-    ResultCode.USAGE: Meaning(400, "the command line is wrong", 2),
-    ResultCode.PROCESS_UNREACHABLE: Meaning(503, "the process does not answer", 65),
-    ResultCode.KEEPER_CHANGE_REFUSED: Meaning(409, "the keeper set cannot be changed so", 66),
-    ResultCode.CONFIGURATION_INVALID: Meaning(400, "a configuration cannot be in force", 61),
-    ResultCode.CONFIGURATION_STALE: Meaning(200, "a higher version is in force already", 60),
-    ResultCode.CONFIGURATION_UNKNOWN: Meaning(
-        503, "the newest configuration cannot be told now", 62
+    ResultCode.TARGETS_LIMITED: CodeInfo(
+        503, "all targets for this request are at their rate limits", 31
     ),
-    ResultCode.ROLLOUT_UNDER_WAY: Meaning(409, "another rollout of the service runs", 66),
-    ResultCode.ROLLOUT_UNKNOWN: Meaning(404, "the service had no rollout", 64),
-    ResultCode.LINK_REFUSED: Meaning(403, "a link's key, host or site is wrong", 70),
-    ResultCode.LINK_MALFORMED: Meaning(400, "a message of a link cannot be read", 70),
-    ResultCode.LINK_CLOSED: Meaning(503, "the link closed before the answer", 70),
-    ResultCode.LINK_TIMEOUT: Meaning(504, "the peer did not answer in time", 70),
-    ResultCode.LINK_QUEUE_FULL: Meaning(503, "the peer reads too slowly", 70),
-    ResultCode.STORAGE_CORRUPT: Meaning(500, "a record amid the data file is corrupt", 80),
-    ResultCode.STORAGE_FAILED: Meaning(500, "the disk refused a write or a sync", 81),
-    ResultCode.KEEPER_NOT_VOTING: Meaning(503, "this keeper's disk is not in the keeper set", 82),
-    ResultCode.KEEPER_EPOCH: Meaning(409, "the sender knows an older keeper set", 83),
-    ResultCode.KEEPER_DISK_OLD: Meaning(500, "the data folder is older than peers saw it", 84),
-    ResultCode.QUORUM_UNREACHABLE: Meaning(503, "no majority of keepers answers", 85),
-    ResultCode.INTERNAL: Meaning(500, "an error of troutstand's own", 90),
+    ResultCode.COMMAND_UNAVAILABLE: CodeInfo(503, "no quorum of keepers can be reached", 40),
+    ResultCode.COMMAND_OUTCOME_UNKNOWN: CodeInfo(
+        409, "the command may have run; this result is final", 41
+    ),
+    ResultCode.COMMAND_NOT_RUN: CodeInfo(503, "the command was not run; it may be retried", 42),
+    ResultCode.COMMAND_STILL_RUNNING: CodeInfo(
+        409, "the command is still running; retry with its key", 43
+    ),
+    ResultCode.TARGET_UNREACHABLE: CodeInfo(502, "the target could not be reached", 50),
+    ResultCode.TARGET_FAULT: CodeInfo(502, "the target answered with an error", 50),
+    ResultCode.ANSWER_CUT: CodeInfo(502, "the answer was interrupted and could not be resumed", 51),
+    ResultCode.ANSWER_FOREIGN: CodeInfo(502, "the target answered a different request", 51),
+    ResultCode.TARGET_TIMEOUT: CodeInfo(504, "the target did not answer in time", 52),
+    ResultCode.ANSWER_TOO_LARGE: CodeInfo(502, "the answer exceeds its limit", 51),
+    ResultCode.TABLE_STALE: CodeInfo(409, "the table changed since the edit began", 60),
+    ResultCode.TABLE_INVALID: CodeInfo(400, "a row of the table is invalid", 61),
+    ResultCode.TABLE_UNKNOWN: CodeInfo(
+        503, "the outcome of the edit is unknown; send it again", 62
+    ),
+    ResultCode.OPERATOR_TOKEN: CodeInfo(401, "the operator token is wrong", 63),
+    ResultCode.NOT_FOUND: CodeInfo(404, "no item has this name", 64),
+    ResultCode.USAGE: CodeInfo(400, "the command line is wrong", 2),
+    ResultCode.PROCESS_UNREACHABLE: CodeInfo(503, "the process does not answer", 65),
+    ResultCode.KEEPER_CHANGE_REFUSED: CodeInfo(
+        409, "the keeper set cannot be changed in this way", 66
+    ),
+    ResultCode.CONFIGURATION_INVALID: CodeInfo(400, "the configuration is invalid", 61),
+    ResultCode.CONFIGURATION_STALE: CodeInfo(200, "a higher version is already in force", 60),
+    ResultCode.CONFIGURATION_UNKNOWN: CodeInfo(
+        503, "the newest configuration is currently unknown", 62
+    ),
+    ResultCode.ROLLOUT_UNDER_WAY: CodeInfo(
+        409, "another rollout of the service is in progress", 66
+    ),
+    ResultCode.ROLLOUT_UNKNOWN: CodeInfo(404, "the service has no rollout", 64),
+    ResultCode.LINK_REFUSED: CodeInfo(403, "a link's key, host or site is wrong", 70),
+    ResultCode.LINK_MALFORMED: CodeInfo(400, "a message on a link cannot be decoded", 70),
+    ResultCode.LINK_CLOSED: CodeInfo(503, "the link closed before the response", 70),
+    ResultCode.LINK_TIMEOUT: CodeInfo(504, "the peer did not answer in time", 70),
+    ResultCode.LINK_QUEUE_FULL: CodeInfo(503, "the peer reads too slowly", 70),
+    ResultCode.STORAGE_CORRUPT: CodeInfo(500, "a record inside the data file is corrupt", 80),
+    ResultCode.STORAGE_FAILED: CodeInfo(500, "a write or a sync of the disk failed", 81),
+    ResultCode.KEEPER_NOT_VOTING: CodeInfo(503, "this keeper's disk is not in the keeper set", 82),
+    ResultCode.KEEPER_EPOCH: CodeInfo(409, "the sender uses an older keeper set", 83),
+    ResultCode.KEEPER_DISK_OLD: CodeInfo(
+        500, "the data folder is older than the state known to peers", 84
+    ),
+    ResultCode.QUORUM_UNREACHABLE: CodeInfo(503, "no quorum of keepers answered", 85),
+    ResultCode.INTERNAL: CodeInfo(500, "an internal error", 90),
 }
 
 
-def describe_code(code: ResultCode) -> Meaning:
-    """Return the meaning of a result code."""
-    return _MEANINGS[code]
+def describe_code(code: ResultCode) -> CodeInfo:
+    """Return the description of a result code."""
+    return _CODE_INFOS[code]
