--- a/troutstand/util/clock.py
+++ b/troutstand/util/clock.py
@@ -1,8 +1,7 @@
-"""Read the clock that all times of a process are compared by.
+"""Read the process clock, which includes time in which the host is suspended.
 
-A host may be suspended. The steady clock stands still meanwhile, so that a lease, a contact
-or a deadline would seem younger than it is: others have given it up. The clock read here
-never goes back and counts that time, and the event loop's timers go by it as well.
+The monotonic clock stops during a suspend, so a lease or deadline would seem valid after
+peers have let it expire. The event loop's timers use the same clock.
 """
 
 from __future__ import annotations
@@ -14,62 +13,60 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-# Counts the time in which the host was suspended; where a system has no such clock, the
-# steady one is all there is.
-_SOURCE = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
+# Falls back to the monotonic clock on systems without a clock that includes suspends.
+_CLOCK_ID = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
 
-# Two reads of the two clocks lie this much apart at most, in seconds, on a machine that is
-# awake (the process may be held up between them).
+# Shorter differences come from a delay between the reads of the two clocks.
 MIN_SUSPEND_S = 0.05
-_WATCH_S = 0.1
+_CHECK_INTERVAL_S = 0.1
 
 
 def read_clock_s() -> float:
-    """Return seconds since some moment before the process began, suspended ones too."""
-    return time.clock_gettime(_SOURCE)
+    """Return seconds since an arbitrary start, including suspended time."""
+    return time.clock_gettime(_CLOCK_ID)
 
 
 def read_monotonic_s() -> float:
-    """Return seconds that stand still while the host is suspended."""
+    """Return seconds since an arbitrary start, excluding suspended time."""
     return time.monotonic()
 
 
 class SuspendWatch:
-    """Notice that the host was suspended, by two clocks that part."""
+    """Detect suspends of the host by comparing two clocks."""
 
     def __init__(self) -> None:
-        self._apart_s = self._measure()
+        self._offset_s = self._measure_offset()
 
-    def _measure(self) -> float:
+    def _measure_offset(self) -> float:
         return read_clock_s() - read_monotonic_s()
 
     def peek_suspended_s(self) -> float:
-        """Return the same, and go on counting from the call before."""
-        return max(0.0, self._measure() - self._apart_s)
+        """Return the suspended seconds since the last pop, without resetting them."""
+        return max(0.0, self._measure_offset() - self._offset_s)
 
     def pop_suspended_s(self) -> float:
-        """Return for how many seconds the host was suspended since the last call."""
-        before_s, self._apart_s = self._apart_s, self._measure()
-        return max(0.0, self._apart_s - before_s)
+        """Return the suspended seconds since the last pop, and reset them."""
+        previous_offset_s, self._offset_s = self._offset_s, self._measure_offset()
+        return max(0.0, self._offset_s - previous_offset_s)
 
 
-async def watch_suspends(note: Callable[[float], None]) -> None:
-    """Tell each time after which the host was awake again, by its seconds, until cancelled."""
+async def watch_suspends(on_suspend: Callable[[float], None]) -> None:
+    """Call a function with the length of each suspend in seconds, until cancelled."""
     watch = SuspendWatch()
     while True:
-        await asyncio.sleep(_WATCH_S)
+        await asyncio.sleep(_CHECK_INTERVAL_S)
         suspended_s = watch.pop_suspended_s()
         if suspended_s > MIN_SUSPEND_S:
-            note(suspended_s)
+            on_suspend(suspended_s)
 
 
 class ClockLoop(asyncio.SelectorEventLoop):
-    """Run timers by the clock that counts time in which the host was suspended.
+    """Run timers by the clock that includes suspended time.
 
-    The system wakes the loop by the steady clock. A timer that ran out meanwhile is seen at
-    the loop's next step, which other timers cause within a quarter of a second.
+    The selector still waits by the monotonic clock, so a timer that expires during a suspend
+    fires at the next iteration of the loop, at the latest when another timer ends the wait.
     """
 
     def time(self) -> float:
-        """Return the time that timers are set by, in seconds."""
+        """Return the current time of the loop's timers in seconds."""
         return read_clock_s()
--- a/troutstand/util/events.py
+++ b/troutstand/util/events.py
@@ -1,4 +1,4 @@
-"""Publish what happens in a process to its log, its metrics and its readers."""
+"""Publish the events of a process to its log, its metrics and its subscribers."""
 
 from __future__ import annotations
 
@@ -27,16 +27,16 @@
 
 Field = str | int | float | bool | None
 
-# Events that `troutstandctl explain` can look back on.
+# Number of events kept for `troutstandctl explain`.
 MAX_RECENT_EVENTS = 20_000
-_STANDARD_OUTPUT = 1
-_PLAIN = re.compile(r"^[^\s\"=]+$")
+_STDOUT_FD = 1
+_UNQUOTED = re.compile(r"^[^\s\"=]+$")
 METRIC_PREFIX = "troutstand"
 
 
 @dataclass(frozen=True)
 class Event:
-    """Tell one thing that happened."""
+    """Represent one logged event."""
 
     name: str
     stamp: Stamp
@@ -47,18 +47,18 @@
 
 
 def format_value(value: Field) -> str:
-    """Write a value so that a line splits again at its blanks."""
+    """Format a value, quoted if it contains blanks, quotes or equals signs."""
     if isinstance(value, float):
         return f"{value:.6g}"
     text = str(value)
-    if _PLAIN.match(text):
+    if _UNQUOTED.match(text):
         return text
     escaped = text.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n")
     return f'"{escaped}"'
 
 
 def format_event(event: Event) -> str:
-    """Write an event as one line of key=value pairs, without the fields that are None."""
+    """Format an event as a line of key=value pairs, omitting fields that are None."""
     host = event.process.partition(".")[0]
     parts = [
         f"at={event.stamp.wall_ms}.{event.stamp.counter}",
@@ -70,23 +70,23 @@
         parts.append(f"request={event.request}")
     if event.code is not ResultCode.OK:
         parts.append(f"code={event.code.value}")
-    known = {key: value for key, value in event.fields.items() if value is not None}
-    parts.extend(f"{key}={format_value(value)}" for key, value in known.items())
+    present = {key: value for key, value in event.fields.items() if value is not None}
+    parts.extend(f"{key}={format_value(value)}" for key, value in present.items())
     return " ".join(parts)
 
 
 def open_standard_output() -> LineWriter:
-    """Send absl's log lines to standard output without ever waiting for it."""
+    """Route absl's log lines to standard output with non-blocking writes."""
     logger = logging.get_absl_logger()
     logging.set_verbosity(logging.INFO)
-    writer = LineWriter(_STANDARD_OUTPUT)
+    writer = LineWriter(_STDOUT_FD)
     logger.handlers = [writer]
     logger.propagate = False
     return writer
 
 
 def open_log(path: str | None) -> None:
-    """Send absl's log lines to a file, which an operator's tools may rotate."""
+    """Route absl's log lines to a file that may be rotated, or to standard error."""
     logger = logging.get_absl_logger()
     logging.set_verbosity(logging.INFO)
     handler: std_logging.Handler
@@ -97,13 +97,13 @@
 
 
 class EventBus:
-    """Stamp events and hand them to every subscriber."""
+    """Stamp events and pass them to all subscribers."""
 
     def __init__(self, process: ProcessId, clock: HybridClock) -> None:
         self.process = process
         self.clock = clock
         self.recent: deque[Event] = deque(maxlen=MAX_RECENT_EVENTS)
-        self._lines: list[str] = []
+        self._pending_lines: list[str] = []
         self._subject: Subject[Event] = Subject()
         self._subject.subscribe(self.recent.append)
 
@@ -114,39 +114,38 @@
         stamp = self.clock.tick()
         self._subject.on_next(Event(name, stamp, self.process, request, code, fields))
 
-    def subscribe(self, reader: Callable[[Event], None]) -> None:
-        """Hand every event to a reader."""
-        self._subject.subscribe(reader)
+    def subscribe(self, subscriber: Callable[[Event], None]) -> None:
+        """Call a function with every event."""
+        self._subject.subscribe(subscriber)
 
     def enable_log(self) -> None:
-        """Write every event as a log line."""
-        self._subject.subscribe(self._keep_line)
+        """Write every further event to the log."""
+        self._subject.subscribe(self._buffer_line)
 
-    def _keep_line(self, event: Event) -> None:
-        """Keep a line until the turn of the loop ends; outside a loop, write it."""
-        self._lines.append(format_event(event))
-        if len(self._lines) > 1:
+    def _buffer_line(self, event: Event) -> None:
+        """Buffer a line until the next loop iteration; without a running loop, write it now."""
+        self._pending_lines.append(format_event(event))
+        if len(self._pending_lines) > 1:
             return
         try:
-            asyncio.get_running_loop().call_soon(self._write_lines)
+            asyncio.get_running_loop().call_soon(self._flush_lines)
         except RuntimeError:
-            self._write_lines()
+            self._flush_lines()
 
-    def _write_lines(self) -> None:
-        # One call of the logging library for all lines of a turn: its records
-        # cost more than the lines do.
-        lines, self._lines = self._lines, []
+    def _flush_lines(self) -> None:
+        # Logs all lines of an iteration in one call, since each call is expensive.
+        lines, self._pending_lines = self._pending_lines, []
         logging.info("%s", "\n".join(lines))
 
     def enable_metrics(self, address: Address) -> None:
-        """Count events, and time those that carry `*_ms`, by statsd."""
+        """Send event counts, `*_ms` timings and `*_gauge` gauges to statsd."""
         client = statsd.StatsClient(address.ip, address.port, prefix=METRIC_PREFIX)
         self._subject.pipe(ops.do_action(lambda event: client.incr(_name_metric(event)))).subscribe(
-            lambda event: _send_timings(client, event)
+            lambda event: _send_values(client, event)
         )
 
     def find_request(self, request: str) -> list[Event]:
-        """Return the kept events of one request."""
+        """Return the recent events of one request."""
         return [event for event in self.recent if event.request == request]
 
 
@@ -156,7 +155,7 @@
     return f"{name}.{event.code.value}" if event.code is not ResultCode.OK else name
 
 
-def _send_timings(client: statsd.StatsClient, event: Event) -> None:
+def _send_values(client: statsd.StatsClient, event: Event) -> None:
     for key, value in event.fields.items():
         if key.endswith("_ms") and isinstance(value, int | float):
             client.timing(f"{_name_metric(event)}.{key}", value)
--- a/troutstand/util/linewriter.py
+++ b/troutstand/util/linewriter.py
@@ -1,4 +1,4 @@
-"""Write log lines to a descriptor without ever waiting for its reader."""
+"""Write log lines to a file descriptor without blocking."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 class LineWriter(logging.Handler):
-    """Hand log lines to a descriptor; drop and count what a slow reader cannot take.
+    """Write log lines to a descriptor; drop and count lines when its reader is too slow.
 
     Parameters
     ----------
     descriptor
-        Where lines go; it is switched to non-blocking writes.
+        The file descriptor; it is set to non-blocking mode.
     limit_bytes
-        How much may wait in memory.
+        Size limit of the buffer of unwritten lines.
     """
 
     def __init__(self, descriptor: int, limit_bytes: int = MAX_BUFFER_BYTES) -> None:
@@ -25,34 +25,36 @@
         self.dropped = 0
         self._descriptor = descriptor
         self._limit_bytes = limit_bytes
-        self._waiting = b""
-        self._told = 0
-        # Where there is no such descriptor, each write fails and its lines are counted.
+        self._buffer = b""
+        self._reported_count = 0
+        # If the descriptor is not open, each write fails and its lines count as dropped.
         with contextlib.suppress(OSError):
             os.set_blocking(descriptor, False)
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write a record's lines, or keep them for the next call."""
+        """Write the lines of a record, or buffer them until the next call."""
         data = record.getMessage().encode() + b"\n"
-        if len(self._waiting) + len(data) > self._limit_bytes:
+        if len(self._buffer) + len(data) > self._limit_bytes:
             self.dropped += data.count(b"\n")
             data = b""
-        elif self.dropped > self._told:
-            data = b"event=log_lines_dropped count=%d\n" % (self.dropped - self._told) + data
-            self._told = self.dropped
-        self._waiting += data
+        elif self.dropped > self._reported_count:
+            data = (
+                b"event=log_lines_dropped count=%d\n" % (self.dropped - self._reported_count) + data
+            )
+            self._reported_count = self.dropped
+        self._buffer += data
         self._write()
 
     def _write(self) -> None:
-        while self._waiting:
+        while self._buffer:
             try:
-                written = os.write(self._descriptor, self._waiting)
+                written_bytes = os.write(self._descriptor, self._buffer)
             except (BlockingIOError, InterruptedError):
-                # What waits goes with the next call.
+                # The rest is written with the next record.
                 return
             except OSError:
-                # Nobody reads any more; a log must not end the process.
-                self.dropped += self._waiting.count(b"\n")
-                self._waiting = b""
+                # The reader has closed the descriptor; this must not end the process.
+                self.dropped += self._buffer.count(b"\n")
+                self._buffer = b""
                 return
-            self._waiting = self._waiting[written:]
+            self._buffer = self._buffer[written_bytes:]
