--- a/troutstand/util/listening.py
+++ b/troutstand/util/listening.py
@@ -1,4 +1,4 @@
-"""Open an HTTP address of a process."""
+"""Serve HTTP applications and abort or complete their responses."""
 
 from __future__ import annotations
 
@@ -19,24 +19,27 @@
 
 @dataclass(frozen=True)
 class ServerTimeouts:
-    """Say how long idle connections are kept, and answers waited for at the end, in seconds."""
+    """Set the timeouts of an HTTP server in seconds."""
 
     keep_alive_s: float = 75.0
     shutdown_s: float = 0.3
 
 
-_WAITS = ServerTimeouts()
+_DEFAULT_TIMEOUTS = ServerTimeouts()
 
 
 async def listen(
-    application: web.Application, address: Address, field: str, waits: ServerTimeouts = _WAITS
+    application: web.Application,
+    address: Address,
+    settings_field: str,
+    timeouts: ServerTimeouts = _DEFAULT_TIMEOUTS,
 ) -> web.AppRunner:
-    """Serve an application at an address.
+    """Serve an application at an address and return its runner.
 
     Raises
     ------
     TroutstandError
-        ADDRESS_IN_USE, naming the settings field.
+        ADDRESS_IN_USE with the name of the settings field.
     """
     runner = web.AppRunner(
         application,
@@ -44,33 +47,33 @@
         handler_cancellation=True,
         max_line_size=MAX_HEADER_BYTES,
         max_field_size=MAX_HEADER_BYTES,
-        keepalive_timeout=waits.keep_alive_s,
-        shutdown_timeout=waits.shutdown_s,
+        keepalive_timeout=timeouts.keep_alive_s,
+        shutdown_timeout=timeouts.shutdown_s,
     )
     await runner.setup()
     try:
         await web.TCPSite(runner, address.ip, address.port, backlog=_BACKLOG).start()
     except OSError as error:
-        detail = f"{field} {address.ip}:{address.port}: {error}"
+        detail = f"{settings_field} {address.ip}:{address.port}: {error}"
         raise TroutstandError(ResultCode.ADDRESS_IN_USE, detail) from error
     return runner
 
 
 def has_response_started(request: web.BaseRequest) -> bool:
-    """Tell whether a part of a request's answer was written to the caller."""
+    """Return whether part of the response has been written to the caller."""
     return request.writer.output_size > 0
 
 
 def abort_response(request: web.BaseRequest) -> None:
-    """Close the connection of an answer that has begun, without the answer's end."""
+    """Close the connection without completing the response."""
     if request.transport is not None:
         request.transport.close()
 
 
 async def write_full_response(request: web.BaseRequest, response: web.StreamResponse) -> bool:
-    """Write a whole answer; where another has begun, break that off and return False.
+    """Write a complete response; if another one has started, abort it and return False.
 
-    A head amid a body that has begun is read as a part of that body.
+    After a response has started, the caller would read another head as part of its body.
     """
     if has_response_started(request):
         abort_response(request)
--- a/troutstand/util/noticelog.py
+++ b/troutstand/util/noticelog.py
@@ -1,4 +1,4 @@
-"""Log what targets said of themselves, in the same words for every process."""
+"""Log the notices of targets with the same fields in every process."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def emit_notice_received(events: EventBus, request: str, notice: TargetNotice) -> None:
-    """Log what the answer to a request said of its target, where it is news."""
+    """Log a new notice that a target sent with its response to a request."""
     events.emit(
         "target_notice_heard",
         request,
@@ -22,7 +22,7 @@
 
 
 def emit_notice_accepted(events: EventBus, peer: str, notice: TargetNotice) -> None:
-    """Log what a decider was told of a target by a process, where it is news."""
+    """Log a new notice of a target that a scheduler accepted from a peer."""
     events.emit(
         "target_notice_taken",
         target=notice.target,
