--- a/troutstand/core/configuration.py
+++ b/troutstand/core/configuration.py
@@ -48,7 +48,7 @@
         unknown = [part.service for part in route.split if part.service not in services]
         problems.extend(f"route {route.name!r}: unknown service {name!r}" for name in unknown)
         if sum(part.weight for part in route.split) <= 0:
-            problems.append(f"route {route.name!r}: the weights must sum to more than 0")
+            problems.append(f"route {route.name!r}: the weights sum to 0, but must sum to more")
     return problems
 
 
