--- a/troutstand/testing/models/edit.py
+++ b/troutstand/testing/models/edit.py
@@ -134,7 +134,9 @@
 
 def _store(world: World, index: int, operator: Operator, edit: Edit, action: Action) -> World:
     kept = None if isinstance(action, EditAccepted | EditStale | EditOutcomeUnknown) else action
-    operator = replace(operator, edit=(edit.state, edit._version, edit._known), action=kept)
+    operator = replace(
+        operator, edit=(edit.state, edit._version, edit._accepted_version), action=kept
+    )
     operators = (*world.operators[:index], operator, *world.operators[index + 1 :])
     return replace(world, operators=operators)
 
