--- a/troutstand/core/admissionqueue.py
+++ b/troutstand/core/admissionqueue.py
@@ -1,4 +1,4 @@
-"""Refuse those who wait for a target of a site and cannot be served in time."""
+"""Queue the waiting requests of a site and refuse those that cannot be served in time."""
 
 from __future__ import annotations
 
@@ -22,31 +22,27 @@
     from troutstand.core.scheduling.waitingqueue import WaitingRequest
     from troutstand.generated.messages import RoutedWork
 
-# How long a request that comes too late may wait, as a multiple of its objective.
-_LATE_PATIENCE = 0.0
-# The share of its time left that a request may wait for (chosen, not measured).
+# Wait allowed to a request that is late on arrival, in multiples of its objective.
+_ARRIVED_LATE_WAIT_FACTOR = 0.0
+# Share of its remaining time that a request may wait.
 _MAX_WAIT_SHARE = 0.4
-# A late request that has waited for so many objectives is refused: those that find no
-# slot by then wait until their callers leave (953 of 18,175 requests of a day of 200
-# hosts ended without any answer; on a day of 9 hosts 77.7 of worth, and 0 with this).
-_MAX_LATE_WAIT = 2.0
-# The least and the most time to come back that a caller is told, in seconds, and how
-# long requests wait where a service has no target (chosen, not measured).
+# Wait after which a late request is refused rather than held until its caller leaves, in
+# multiples of its objective.
+_MAX_LATE_WAIT_FACTOR = 2.0
 _MIN_RETRY_AFTER_S = 0.1
 _MAX_RETRY_AFTER_S = 5.0
+# Wait allowed while a service has no usable target.
 _NO_TARGET_WAIT_S = 0.3
-# A late wait may take so many times as long as expected, since those that can be in time
-# come before it: callers that left while they waited were held in vain.
-_LATE_SAFETY = 2.0
-# A caller is told to come back within this share of its time, so that it can be served then.
-_RETURN_SHARE = 0.3
-# An estimated wait may be too long by this share of a request's patience before it counts
-# as overtaken, since the estimate moves with every arrival (chosen, not measured).
-_OVERTAKEN_MARGIN = 0.2
+# Safety factor on the estimated wait of a late request, which later arrivals can overtake.
+_LATE_WAIT_SAFETY_FACTOR = 2.0
+# Maximum retry delay as a share of the remaining time, so that a retry can still be served.
+_RETRY_AFTER_SHARE = 0.3
+# Tolerance on the estimated wait as a share of the slack, since it varies with each arrival.
+_OVERTAKEN_MARGIN_SHARE = 0.2
 
 
 class AdmissionQueue(SiteView):
-    """Hold who waits at a site, and refuse who cannot be served in time."""
+    """Queue the waiting requests of a site and shed those that cannot be served in time."""
 
     def __init__(
         self,
@@ -62,11 +58,11 @@
         self._decisions: list[Decision] = []
 
     def drain_decisions(self) -> list[Decision]:
-        """Return the decisions since the last call."""
-        taken, self._decisions = self._decisions, []
-        return taken
+        """Return and clear the pending decisions."""
+        decisions, self._decisions = self._decisions, []
+        return decisions
 
-    def _leave_queue(self, pool: Pool, request: str, now_s: float) -> None:
+    def _dequeue(self, pool: Pool, request: str, now_s: float) -> None:
         waiting = pool.waiting.pop(request)
         if waiting is None:
             return
@@ -75,136 +71,133 @@
         if work.attempt == 1:
             self.quotas.give_back(work.workspace, work.charge, waiting.arrived_s, now_s)
 
-    def _refuse_quarantined(self, now_s: float) -> None:
-        """Refuse those that wait for a trial which has turned out badly."""
+    def _refuse_waiting_quarantined(self, now_s: float) -> None:
+        """Refuse the waiting requests whose fingerprint is now quarantined."""
         for pool in self.pools.values():
             for waiting in pool.waiting.list_all():
                 work = waiting.work
                 if self.crashes.get_suspicion(work.fingerprint, now_s) is Suspicion.QUARANTINED:
-                    self._leave_queue(pool, work.request, now_s)
-                    self._quarantine(work, waiting.owner, now_s)
+                    self._dequeue(pool, work.request, now_s)
+                    self._decline_quarantined(work, waiting.owner, now_s)
 
-    def _quarantine(self, work: RoutedWork, owner: str, now_s: float) -> None:
+    def _decline_quarantined(self, work: RoutedWork, owner: str, now_s: float) -> None:
         declined = decline_quarantined(
             work.request, self.crashes.describe_quarantine(work.fingerprint, now_s)
         )
         self._decisions.append(Decision(owner, declined))
 
-    def _judge_arrival(self, pool: Pool, waiting: WaitingRequest, now_s: float) -> None:
+    def _check_arrival(self, pool: Pool, waiting: WaitingRequest, now_s: float) -> None:
         if not pool.list_usable():
             return
         pool.judge_time(waiting)
-        if self._refuse_resting(pool, waiting, now_s):
+        if self._refuse_during_backoff(pool, waiting, now_s):
             return
-        turn_s = pool.measure_turn(now_s)
-        wait_s = (pool.waiting.count_shed_after(waiting) + 1) * turn_s
+        slot_interval_s = pool.measure_turn(now_s)
+        wait_s = (pool.waiting.count_shed_after(waiting) + 1) * slot_interval_s
         if wait_s <= waiting.slack_s:
             return
-        # With its whole time before it, it would have been in time here: it is late by what
-        # it has spent, be it with a scheduler that stood still, and not by the queue.
-        is_late_by_spent = wait_s <= waiting.full_slack_s
-        # It goes behind those that can make their objective.
+        # With its full slack it would be on time: time spent before arrival, for example at an
+        # unresponsive scheduler, makes it late, not this queue.
+        is_late_by_time_spent = wait_s <= waiting.full_slack_s
         pool.waiting.mark_late(waiting)
         ahead = pool.waiting.count_shed_after(waiting)
-        wait_s = (ahead + 1) * turn_s
-        most_s = min(
-            _LATE_PATIENCE * waiting.work.objective_s, _MAX_WAIT_SHARE * waiting.work.remaining_s
+        wait_s = (ahead + 1) * slot_interval_s
+        max_wait_s = min(
+            _ARRIVED_LATE_WAIT_FACTOR * waiting.work.objective_s,
+            _MAX_WAIT_SHARE * waiting.work.remaining_s,
         )
-        if is_late_by_spent or waiting.work.spent_s >= waiting.full_slack_s:
-            most_s = max(most_s, waiting.full_slack_s)
-        if wait_s > most_s and not self._should_be_late(pool, waiting, ahead, turn_s, now_s):
-            back_s = self._estimate_return(pool, waiting, ahead, turn_s)
-            self._refuse(pool, waiting, ResultCode.SHED_OVERLOAD, back_s, now_s)
-
-    def _estimate_return(
-        self, pool: Pool, waiting: WaitingRequest, ahead: int, turn_s: float
+        if is_late_by_time_spent or waiting.work.spent_s >= waiting.full_slack_s:
+            max_wait_s = max(max_wait_s, waiting.full_slack_s)
+        if wait_s > max_wait_s and not self._should_serve_late(
+            pool, waiting, ahead, slot_interval_s, now_s
+        ):
+            retry_after_s = self._estimate_retry_after(pool, waiting, ahead, slot_interval_s)
+            self._refuse(pool, waiting, ResultCode.SHED_OVERLOAD, retry_after_s, now_s)
+
+    def _estimate_retry_after(
+        self, pool: Pool, waiting: WaitingRequest, ahead: int, slot_interval_s: float
     ) -> float:
-        """Return the seconds after which a refused caller should find room.
+        """Return the retry delay for a refused caller, in seconds.
 
-        Told the wait behind those in the queue alone, it comes back into the same burst and
-        is refused again.
+        Accounts for expected arrivals of the same and higher tiers, so that the retry does not
+        meet the same burst.
         """
-        wait_s = (ahead + 1) * turn_s
+        wait_s = (ahead + 1) * slot_interval_s
         if not self._options.protects_tiers:
             return wait_s
-        late_s = pool.estimate_late_wait(waiting, ahead, turn_s)
-        return max(wait_s, min(late_s, _RETURN_SHARE * waiting.work.remaining_s))
+        late_wait_s = pool.estimate_late_wait(waiting, ahead, slot_interval_s)
+        return max(wait_s, min(late_wait_s, _RETRY_AFTER_SHARE * waiting.work.remaining_s))
 
-    def _should_be_late(
-        self, pool: Pool, waiting: WaitingRequest, ahead: int, turn_s: float, now_s: float
+    def _should_serve_late(
+        self, pool: Pool, waiting: WaitingRequest, ahead: int, slot_interval_s: float, now_s: float
     ) -> bool:
         """Tell whether a request should be served late rather than refused.
 
-        Refused, it would give way to lower tiers that are to give way to it, or come back
-        to find no more room than it has by waiting.
+        Refusing it would favor requests of lower tiers, or cause a retry that waits no less.
         """
         if not self._options.protects_tiers:
             return False
-        wait_s = pool.estimate_late_wait(waiting, ahead, turn_s)
+        wait_s = pool.estimate_late_wait(waiting, ahead, slot_interval_s)
         if pool.has_lower(waiting):
-            wait_s = min(wait_s, (ahead + 1) * turn_s)
-        if now_s + _LATE_SAFETY * wait_s + waiting.min_first_byte_s > waiting.first_byte_deadline_s:
+            wait_s = min(wait_s, (ahead + 1) * slot_interval_s)
+        if (
+            now_s + _LATE_WAIT_SAFETY_FACTOR * wait_s + waiting.min_first_byte_s
+            > waiting.first_byte_deadline_s
+        ):
             return False
         return wait_s <= _MAX_WAIT_SHARE * (waiting.deadline_s - now_s)
 
-    def _is_hopeless(self, pool: Pool, waiting: WaitingRequest, now_s: float) -> bool:
-        """Tell whether a request's time ends, or its caller leaves, before it could be served."""
+    def _will_expire(self, pool: Pool, waiting: WaitingRequest, now_s: float) -> bool:
+        """Tell whether the deadline passes or the caller leaves before a first byte."""
         if now_s + clamp_service_s(pool.hold_s or 0.0) * 0.5 > waiting.deadline_s:
             return True
-        is_left = now_s + waiting.min_first_byte_s > waiting.first_byte_deadline_s
-        return self._options.protects_tiers and is_left
+        is_abandoned = now_s + waiting.min_first_byte_s > waiting.first_byte_deadline_s
+        return self._options.protects_tiers and is_abandoned
 
-    def _refuse_resting(self, pool: Pool, waiting: WaitingRequest, now_s: float) -> bool:
-        """Refuse who must leave all targets alone for longer than there is time.
-
-        Otherwise the request is held until it is late and then refused all the same.
-        """
-        rest_s = pool.measure_rest(waiting.owner, now_s)
-        if rest_s <= 0.0 or waiting.can_meet_objective(now_s + rest_s):
+    def _refuse_during_backoff(self, pool: Pool, waiting: WaitingRequest, now_s: float) -> bool:
+        """Refuse a request if all targets stay in backoff for its gateway beyond its objective."""
+        backoff_s = pool.measure_rest(waiting.owner, now_s)
+        if backoff_s <= 0.0 or waiting.can_meet_objective(now_s + backoff_s):
             return False
-        self._refuse(pool, waiting, ResultCode.TARGETS_RESTING, rest_s, now_s)
+        self._refuse(pool, waiting, ResultCode.TARGETS_RESTING, backoff_s, now_s)
         return True
 
-    def _judge_waiting(self, pool: Pool, now_s: float) -> None:
-        """Refuse who can no longer be served in time, the later ones first."""
+    def _shed_waiting(self, pool: Pool, now_s: float) -> None:
+        """Shed waiting requests that can no longer be served in time, in shedding order."""
         has_targets = bool(pool.list_usable())
         ordered = pool.waiting.list_shed_order()
-        turn_s = pool.measure_turn(now_s)
+        slot_interval_s = pool.measure_turn(now_s)
         for ahead, waiting in reversed(list(enumerate(ordered))):
             waited_here_s = now_s - waiting.arrived_s
-            # What made it late before it came here is no reason to give it less time here: 12
-            # requests of a scheduler that stood still were refused by the next one at once.
+            # Requests that arrived late, for example after a scheduler takeover, get the full
+            # wait here.
             spent_s = 0.0 if waiting.arrived_late else waiting.work.spent_s
             waited_s = waited_here_s + spent_s
-            wait_s = (ahead + 1) * turn_s
-            if self._is_hopeless(pool, waiting, now_s):
+            wait_s = (ahead + 1) * slot_interval_s
+            if self._will_expire(pool, waiting, now_s):
                 self._refuse(pool, waiting, ResultCode.SHED_DEADLINE, wait_s, now_s)
             elif not has_targets:
                 if waited_here_s > _NO_TARGET_WAIT_S:
                     self._refuse(pool, waiting, ResultCode.NO_TARGET, 1.0, now_s)
-            elif self._refuse_resting(pool, waiting, now_s):
+            elif self._refuse_during_backoff(pool, waiting, now_s):
                 continue
             elif not waiting.is_late and waiting.can_meet_objective(now_s):
-                self._judge_overtaken(pool, waiting, ahead, turn_s, now_s)
-            elif waiting.is_late and waited_s > _MAX_LATE_WAIT * waiting.work.objective_s:
-                if self._should_be_late(pool, waiting, ahead, turn_s, now_s):
+                self._shed_overtaken(pool, waiting, ahead, slot_interval_s, now_s)
+            elif waiting.is_late and waited_s > _MAX_LATE_WAIT_FACTOR * waiting.work.objective_s:
+                if self._should_serve_late(pool, waiting, ahead, slot_interval_s, now_s):
                     continue
                 self._refuse(pool, waiting, ResultCode.SHED_OVERLOAD, wait_s, now_s)
             elif not waiting.is_late and not waiting.can_meet_objective(now_s):
                 pool.waiting.mark_late(waiting)
 
-    def _judge_overtaken(
-        self, pool: Pool, waiting: WaitingRequest, ahead: int, turn_s: float, now_s: float
+    def _shed_overtaken(
+        self, pool: Pool, waiting: WaitingRequest, ahead: int, slot_interval_s: float, now_s: float
     ) -> None:
-        """Refuse who was overtaken as soon as it is clear that no slot will come in time.
-
-        Done in the first quarter of the objective only, 4,537 and 4,957 requests were in
-        time on two overloaded days of 9 hosts; done at any time, 4,560 and 5,083.
-        """
-        wait_s = (ahead + 1) * turn_s
-        margin_s = _OVERTAKEN_MARGIN * waiting.full_slack_s
+        """Refuse an overtaken request as soon as no slot is expected in time."""
+        wait_s = (ahead + 1) * slot_interval_s
+        margin_s = _OVERTAKEN_MARGIN_SHARE * waiting.full_slack_s
         if not waiting.can_meet_objective(now_s + wait_s - margin_s):
-            if self._should_be_late(pool, waiting, ahead, turn_s, now_s):
+            if self._should_serve_late(pool, waiting, ahead, slot_interval_s, now_s):
                 pool.waiting.mark_late(waiting)
                 return
             total_s = now_s - waiting.arrived_s + wait_s
@@ -213,7 +206,7 @@
     def _refuse(
         self, pool: Pool, waiting: WaitingRequest, code: ResultCode, wait_s: float, now_s: float
     ) -> None:
-        self._leave_queue(pool, waiting.work.request, now_s)
+        self._dequeue(pool, waiting.work.request, now_s)
         if code is ResultCode.SHED_OVERLOAD and pool.is_limited(now_s):
             code = ResultCode.TARGETS_LIMITED
         waited_s = now_s - waiting.arrived_s
--- a/troutstand/core/dispatch.py
+++ b/troutstand/core/dispatch.py
@@ -1,7 +1,7 @@
-"""Decide which target takes each request, which wait, and which are refused.
+"""Place, queue or refuse the requests of a site.
 
-One queue a service, over all targets that can be reached. It reads no clock
-and sends nothing: times are passed in, and decisions are handed out.
+Keeps one queue per service over all reachable targets. The dispatcher does no I/O and reads no
+clock: callers pass the time and drain the decisions.
 """
 
 from __future__ import annotations
@@ -38,24 +38,24 @@
         RoutedWork,
     )
 
-# How many waiting requests an event may look at in vain.
-_MAX_PASSED = 8
-# How many of them a tick looks at: each costs up to 0.07 ms with 15 open targets.
-_MAX_LOOKED = 64
+# Waiting requests without a suitable target after which an event stops scanning the queue.
+_MAX_SKIPPED = 8
+# Waiting requests that a tick scans.
+_MAX_SCANNED_PER_TICK = 64
 
 
 class Dispatcher(AdmissionQueue):
-    """Hold the queues and the targets of a whole site.
+    """Schedule the requests of a site.
 
     Parameters
     ----------
     spread
-        Draws among targets that cost about the same, where others decide for the same
-        targets unheard; without it the first of equals is taken.
+        Random source that breaks near-ties between targets, so that independent dispatchers
+        do not choose the same one; None takes the first.
     crashes
-        What is known already of requests that end targets.
+        Known suspects of crashing targets.
     options
-        Which decisions under load are switched on.
+        Overload policies.
     """
 
     def __init__(
@@ -74,36 +74,36 @@
         self._choice = TargetChoice(self.reach, spread, self.crashes)
 
     def count_waiting(self) -> int:
-        """Return how many requests wait for a target."""
+        """Return the number of waiting requests."""
         return sum(len(pool.waiting) for pool in self.pools.values())
 
-    # What is known of the site
+    # Configuration and targets
 
     def update_table(self, table: RouteTable, now_s: float) -> None:
-        """Take a configuration."""
+        """Apply a newer configuration."""
         workspaces = table.configuration.workspaces
         self.quotas.use_workspaces(workspaces, now_s)
         self.update_weights({w.name: w.weight for w in workspaces})
         self.use_services(table)
 
     def update_weights(self, weights: dict[str, float]) -> None:
-        """Take the weights of workspaces in the shares of their tier."""
+        """Set the weights of workspaces for fair sharing."""
         self._weights = weights
 
     def use_targets(
         self, listed: Iterable[ListedTarget], now_s: float, is_from_peer: bool = False
     ) -> None:
-        """Take a newer list of targets, and give their slots to those that wait."""
+        """Apply a newer list of targets and place waiting requests on it."""
         super().use_targets(listed, now_s, is_from_peer)
         for pool in self.pools.values():
             self._serve_queue(pool, now_s)
 
     def drop_owner(self, owner: str, now_s: float) -> None:
-        """Forget all requests of a gateway that is gone or asks another scheduler."""
+        """Remove all requests of a gateway that is gone or uses another scheduler."""
         for pool in self.pools.values():
             for waiting in pool.waiting.list_all():
                 if waiting.owner == owner:
-                    self._leave_queue(pool, waiting.work.request, now_s)
+                    self._dequeue(pool, waiting.work.request, now_s)
             for state in pool.targets.values():
                 for request in [r for r, run in state.running.items() if run.owner == owner]:
                     state.finish(request)
@@ -112,14 +112,14 @@
     # Requests
 
     def place(self, work: RoutedWork, owner: str, now_s: float) -> None:
-        """Take a request in: give it a target, let it wait, or refuse it."""
+        """Place, queue or refuse a new request."""
         pool = self.pools.setdefault(work.service, Pool())
-        if self._is_kept_back(pool, work, now_s):
-            self._quarantine(work, owner, now_s)
+        if self._must_refuse_suspect(pool, work, now_s):
+            self._decline_quarantined(work, owner, now_s)
             return
         if work.attempt > 1:
             if not self.retries.take(work.service, now_s):
-                self._decline(work, owner, ResultCode.RETRY_BUDGET, 1.0, "retry budget")
+                self._decline(work, owner, ResultCode.RETRY_BUDGET, 1.0, "retry budget exhausted")
                 return
         else:
             self.retries.note_request(work.service, now_s)
@@ -134,27 +134,25 @@
                 return
         if self._options.protects_tiers:
             pool.note_arrival(work, now_s)
-        share = self._enter_share(pool, work)
+        share = self._charge_share(pool, work)
         waiting = WaitingRequest(work, owner, now_s, now_s + work.remaining_s, share=share)
         pool.waiting.add(waiting)
         self._serve_arrival(pool, waiting, now_s)
         if work.request in pool.waiting:
-            self._judge_arrival(pool, waiting, now_s)
+            self._check_arrival(pool, waiting, now_s)
 
-    def _enter_share(self, pool: Pool, work: RoutedWork) -> ShareTag:
-        """Charge a request to its workspace's share, where shares are kept."""
+    def _charge_share(self, pool: Pool, work: RoutedWork) -> ShareTag:
+        """Charge a request to its workspace; return UNSHARED if fair sharing is off."""
         if not self._options.shares_fairly:
             return UNSHARED
         weight = self._weights.get(work.workspace, DEFAULT_WEIGHT)
         return pool.shares.charge(work.tier, work.workspace, pool.estimate_stay(work), weight)
 
-    def _is_kept_back(self, pool: Pool, work: RoutedWork, now_s: float) -> bool:
-        """Tell whether a request is refused for the targets that ended under others like it.
+    def _must_refuse_suspect(self, pool: Pool, work: RoutedWork, now_s: float) -> bool:
+        """Tell whether a request must be refused because requests like it crashed targets.
 
-        Otherwise each that comes is new and takes as many targets with it as it has
-        attempts: 24 ended within 8 s at 6 engines and a body that came each 0.25 s, and 44
-        of 158 sound requests were answered; with this 3 ended and 158 of 158 were (real
-        processes, `crashers.feature`).
+        A suspect is isolated: a limited number of requests with its fingerprint are admitted
+        at once.
         """
         match self.crashes.get_suspicion(work.fingerprint, now_s):
             case Suspicion.QUARANTINED:
@@ -165,15 +163,15 @@
                 return False
 
     def abandon(self, request: str, now_s: float) -> None:
-        """Forget a request wherever it is."""
+        """Remove a request, waiting or running."""
         for pool in self.pools.values():
-            self._leave_queue(pool, request, now_s)
+            self._dequeue(pool, request, now_s)
             for state in pool.targets.values():
                 if state.finish(request) is not None:
-                    self._serve_from(pool, state, now_s)
+                    self._serve_target(pool, state, now_s)
 
     def record_first_byte(self, first: FirstByte, now_s: float) -> None:
-        """Learn that a target began to answer."""
+        """Record the first byte of an answer."""
         for pool in self.pools.values():
             state = pool.targets.get(first.target)
             run = state.running.get(first.request) if state else None
@@ -184,16 +182,16 @@
                     state.record_prefill(run, first.first_s, pool.know_reading(state))
                     pool.forget_typical()
                 state.add_cached_parts(run.work.model, run.work.parts)
-                # It has less to read now, and suits some that would not have it before.
-                self._serve_from(pool, state, now_s)
+                # Its prefill backlog has shrunk, so it may suit waiting requests now.
+                self._serve_target(pool, state, now_s)
 
     def end(self, ended: Ended, now_s: float) -> None:
-        """Free a request's slot and learn from how it ended."""
+        """Release the slot of a request and record how it ended."""
         if ended.ending is Ending.broken and ended.fingerprint:
             self.crashes.record_broken(ended.fingerprint, ended.target, ended.total_s, now_s)
         if ended.is_target_gone:
             self.crashes.record_target_gone(ended.target, now_s)
-            self._refuse_quarantined(now_s)
+            self._refuse_waiting_quarantined(now_s)
         for pool in self.pools.values():
             state = pool.targets.get(ended.target)
             if state is None:
@@ -202,31 +200,31 @@
             if run is not None:
                 is_kept = ended.ending in (Ending.whole, Ending.failed)
                 state.record_release(run.owner, is_kept, now_s)
-                self._learn_ending(pool, state, run, ended, now_s)
-            self._serve_from(pool, state, now_s)
+                self._record_ending(pool, state, run, ended, now_s)
+            self._serve_target(pool, state, now_s)
 
     def tick(self, now_s: float) -> None:
-        """Do what time alone brings about."""
+        """Process timeouts and place or shed waiting requests."""
         for pool in self.pools.values():
             if self._options.protects_tiers:
                 pool.update_tiers(now_s)
             pool.shares.prune_idle(now_s)
             for state in pool.targets.values():
                 if now_s >= state.blocked_until_s or state.is_probing():
-                    self._judge_silence(state, now_s)
-            self._serve_next(pool, now_s)
-            self._judge_waiting(pool, now_s)
+                    self._check_overdue(state, now_s)
+            self._serve_section(pool, now_s)
+            self._shed_waiting(pool, now_s)
 
-    def _judge_silence(self, state: TargetState, now_s: float) -> None:
-        """Hold a target off that owes a first byte for long."""
+    def _check_overdue(self, state: TargetState, now_s: float) -> None:
+        """Record a loss at a target whose first byte is long overdue."""
         run = state.find_overdue(now_s)
         if run is not None:
             state.record_loss(run, now_s)
             self.reach.record_unreachable(find_way(run.work, state), state.listed.target, now_s)
 
-    # Choosing
+    # Placement
 
-    def _learn_ending(
+    def _record_ending(
         self, pool: Pool, state: TargetState, run: RunningRequest, ended: Ended, now_s: float
     ) -> None:
         self.reach.record_ending(find_way(run.work, state), ended, now_s)
@@ -240,7 +238,7 @@
             case Ending.whole:
                 state.record_success(now_s)
                 if ended.total_s < 0.0:
-                    # Nothing was measured, since the gateway's host was suspended.
+                    # The time is unknown because the gateway's host was suspended.
                     return
                 pool.learn_hold(ended.total_s)
                 pool.headroom.record_slot_time(run.work.tier, ended.total_s, now_s)
@@ -264,61 +262,49 @@
                 pass
 
     def _serve_arrival(self, pool: Pool, waiting: WaitingRequest, now_s: float) -> None:
-        """Give a request that has just come a target, if one suits and none is before it.
+        """Place a new request if a target suits it and few requests rank before it.
 
-        Those that wait have been looked at since the last event that could help them. Looked
-        at again with each arrival, they took a quarter of a decider's processor time in
-        bursts of 1,000 requests/s at 45 engines (4.82 to 3.64 s, `benchmarks/worstload.py`).
+        The other waiting requests are not scanned: nothing has changed for them.
         """
-        if pool.waiting.count_placed_before(waiting) < _MAX_PASSED:
-            self._serve(pool, [waiting], now_s, _MAX_PASSED)
+        if pool.waiting.count_placed_before(waiting) < _MAX_SKIPPED:
+            self._serve(pool, [waiting], now_s, _MAX_SKIPPED)
 
     def _serve_queue(self, pool: Pool, now_s: float) -> None:
-        """Give free slots to those who wait, in the queue's order.
-
-        After a few that no open target suits, the others wait for the next ticks.
-        """
+        """Place waiting requests in queue order, up to the scan limit of an event."""
         if pool.waiting:
-            self._serve(pool, pool.waiting.list_placement_order(), now_s, _MAX_PASSED)
+            self._serve(pool, pool.waiting.list_placement_order(), now_s, _MAX_SKIPPED)
 
-    def _serve_from(self, pool: Pool, state: TargetState, now_s: float) -> None:
-        """Give the free slots of a target at which something happened to those who wait.
+    def _serve_target(self, pool: Pool, state: TargetState, now_s: float) -> None:
+        """Place waiting requests on a target whose state has changed.
 
-        The other open ones were looked at when something happened there, and are by the
-        ticks. Looked at each time, 15 open engines that suited nobody took 0.46 ms of each
-        first byte and each end, and 0.11 ms with this (249 waiting, virtual clock).
+        Other open targets are covered by their own events and by the ticks.
         """
         if not pool.waiting or not state.is_ready or not state.is_open(now_s):
             return
         ordered = pool.waiting.list_placement_order()
         match state.admission:
             case Admission.OPEN:
-                self._serve_open(pool, ordered, [state], [], now_s, _MAX_PASSED)
+                self._serve_open(pool, ordered, [state], [], now_s, _MAX_SKIPPED)
             case Admission.CANARY:
-                self._serve_open(pool, ordered, [], [state], now_s, _MAX_PASSED)
+                self._serve_open(pool, ordered, [], [state], now_s, _MAX_SKIPPED)
             case Admission.CLOSED:
                 pass
 
-    def _serve_next(self, pool: Pool, now_s: float) -> None:
-        """Give free slots to some of those who wait, to the next ones at each tick.
-
-        The first of the queue are looked at with every event. With all of 266 looked at
-        each 50 ms while 15 open engines suited none, a tick took 17 ms, and 2.9 to 5.5 ms
-        with this (virtual clock).
-        """
+    def _serve_section(self, pool: Pool, now_s: float) -> None:
+        """Place requests of the next section of the queue; bounds the cost of a tick."""
         first = pool.next_looked if pool.next_looked < len(pool.waiting) else 0
-        pool.next_looked = first + _MAX_LOOKED
-        some = pool.waiting.list_placement_order(first, _MAX_LOOKED)
-        if some:
-            self._serve(pool, some, now_s, len(some) + 1)
+        pool.next_looked = first + _MAX_SCANNED_PER_TICK
+        section = pool.waiting.list_placement_order(first, _MAX_SCANNED_PER_TICK)
+        if section:
+            self._serve(pool, section, now_s, len(section) + 1)
 
     def _serve(
-        self, pool: Pool, ordered: list[WaitingRequest], now_s: float, most_passed: int
+        self, pool: Pool, ordered: list[WaitingRequest], now_s: float, max_skipped: int
     ) -> None:
         open_ = pool.list_open(now_s)
         canaries = pool.list_canaries(now_s)
         if open_ or canaries:
-            self._serve_open(pool, ordered, open_, canaries, now_s, most_passed)
+            self._serve_open(pool, ordered, open_, canaries, now_s, max_skipped)
 
     def _serve_open(
         self,
@@ -327,33 +313,33 @@
         open_: list[TargetState],
         canaries: list[TargetState],
         now_s: float,
-        most_passed: int,
+        max_skipped: int,
     ) -> None:
-        """Give free slots of some targets to those who wait, in their order."""
-        outlook = pool.describe_busy(now_s)
-        passed = 0
+        """Place waiting requests on the given targets, in order."""
+        busy = pool.describe_busy(now_s)
+        skipped = 0
         for waiting in ordered:
             if self._options.protects_tiers and pool.is_kept_for_higher(waiting.work.tier, now_s):
-                # The rank puts higher tiers first, so that nobody behind it has one.
+                # No later request has a higher tier.
                 return
             blame = self.crashes.get_suspicion(waiting.work.fingerprint, now_s)
             suitable = open_
             if blame is Suspicion.ISOLATED:
                 suitable = self._choice.list_trial(pool, waiting.work, open_, now_s)
                 if not suitable:
-                    # It waits for its trial, and those behind it need not.
+                    # Only this request waits for an isolated target.
                     continue
-            sample = None
+            canary = None
             if blame is Suspicion.NONE:
-                sample = self._choice.choose_canary(pool, waiting, canaries, now_s)
-            if sample is not None:
-                self._start(pool, sample, waiting, len(canaries), now_s)
-                canaries.remove(sample)
+                canary = self._choice.choose_canary(pool, waiting, canaries, now_s)
+            if canary is not None:
+                self._start(pool, canary, waiting, len(canaries), now_s)
+                canaries.remove(canary)
                 continue
             state = self._choice.choose(pool, waiting, suitable, now_s)
-            if state is None or pool.should_wait(state, waiting, outlook, now_s):
-                passed += 1
-                if passed >= most_passed:
+            if state is None or pool.should_wait(state, waiting, busy, now_s):
+                skipped += 1
+                if skipped >= max_skipped:
                     return
                 continue
             self._start(pool, state, waiting, len(open_), now_s)
--- a/troutstand/core/scheduler.py
+++ b/troutstand/core/scheduler.py
@@ -122,7 +122,7 @@
         ]
         for waiting in refused:
             self._dequeue(waiting)
-        return [self._quarantine(waiting, now_s) for waiting in refused]
+        return [self._shed_quarantined(waiting, now_s) for waiting in refused]
 
     def apply_report(self, report: RunningReport, now_s: float) -> list[Send]:
         """Adopt the requests that an entry process runs on grants of an earlier scheduler."""
@@ -196,7 +196,7 @@
     def _check_admission(self, waiting: WaitingRequest, now_s: float) -> Send | None:
         ask = waiting.ask
         if self._must_refuse_suspect(ask, now_s):
-            return self._quarantine(waiting, now_s)
+            return self._shed_quarantined(waiting, now_s)
         if not self._has_usable(ask):
             return self._shed(waiting, ResultCode.NO_TARGET, MIN_RETRY_S, "no live target")
         rest_s = self._measure_rest(ask, now_s)
@@ -234,7 +234,7 @@
         runs = (run for target in self.targets.values() for run in target.running.values())
         return [run.ask.fingerprint for run in runs]
 
-    def _quarantine(self, waiting: WaitingRequest, now_s: float) -> Send:
+    def _shed_quarantined(self, waiting: WaitingRequest, now_s: float) -> Send:
         quarantine = self.crashes.describe_quarantine(waiting.ask.fingerprint, now_s)
         shed = Shed(
             waiting.ask.request,
--- a/troutstand/core/scheduling/shares.py
+++ b/troutstand/core/scheduling/shares.py
@@ -43,8 +43,10 @@
 
     def list_leads(self) -> dict[str, float]:
         """Return the lead over the virtual time, in seconds, of each workspace that has one."""
-        now_s = self.virtual_time_s
-        return {name: tag_s - now_s for name, tag_s in self._finish_tags_s.items() if tag_s > now_s}
+        time_s = self.virtual_time_s
+        return {
+            name: tag_s - time_s for name, tag_s in self._finish_tags_s.items() if tag_s > time_s
+        }
 
     def drop_idle(self) -> None:
         """Drop the workspaces that are not ahead of the virtual time."""
