--- a/troutstand/core/rollouts/admission.py
+++ b/troutstand/core/rollouts/admission.py
@@ -1,4 +1,4 @@
-"""Decide which of a service's targets may get requests, by the version they run."""
+"""Decide which versions of a service may receive requests during a rollout."""
 
 from __future__ import annotations
 
@@ -14,41 +14,39 @@
 
     from troutstand.generated.messages import ServiceRollout
 
-# The part of the allowed exposure that the trial uses, and the part that all uses before
-# the deadline may take together: the service moves over within what lies between. The rest
-# is for what other deciders round up.
-_TRIAL_PART = 0.4
-_MOST_PART = 0.9
-# The part of the fixed allowance that the scheduler of most gateways uses.
-_EXTRA_PART = 0.5
-# It goes first, to one in so many of a route's requests: with few requests a second the
-# share alone brings too few answers to judge a version by, so that 6 of 6 good ones were
-# rolled back at 12 requests/s and orders of 4 to 7 s (soak without faults).
-_EVERY = 4
+# Shares of the exposure limit: for canary samples alone, and together with the requests
+# that are moved over before the deadline. The remainder covers rounding by other processes.
+_CANARY_SHARE = 0.4
+_TOTAL_SHARE = 0.9
+# Share of the fixed allowance that the primary scheduler uses.
+_EXTRA_SHARE = 0.5
+# The fixed allowance admits at most one in this many requests of a route: at a low request
+# rate the share alone yields too few responses for a verdict.
+_EXTRA_INTERVAL = 4
 
 
 class Admission(Enum):
-    """Say which requests a target may get."""
+    """Say which requests a target may receive."""
 
     OPEN = "open"
-    # On trial: a sample of the requests.
+    # Sampled requests only.
     CANARY = "canary"
     CLOSED = "closed"
 
 
 @dataclass(frozen=True)
 class ServiceRolloutView:
-    """Hold what a decider knows of one service's rollout.
+    """Describe one service's rollout as known to a process that places requests.
 
     Parameters
     ----------
     rollout
-        What the newest book known here says; None where it says nothing.
+        The service's entry in the newest known rollout book; None if it has none.
     is_leased
-        Whether a keeper that would know a newer book confirmed this one lately. Without
-        that the version on trial may have been rolled back unheard.
+        Whether a keeper that would have a newer book confirmed this one within the lease.
+        Without it the canary version may have been rolled back in the meantime.
     may_sample
-        Whether this decider sends samples to a version on trial.
+        Whether this process sends sampled requests to a canary version.
     """
 
     rollout: ServiceRollout | None = None
@@ -56,76 +54,73 @@
     may_sample: bool = False
 
 
-def admit_versions(knowledge: ServiceRolloutView, listed: Iterable[str]) -> dict[str, Admission]:
-    """Return the standing of each version that the list of targets shows.
+def admit_versions(view: ServiceRolloutView, listed: Iterable[str]) -> dict[str, Admission]:
+    """Return the admission of each listed version.
 
     Parameters
     ----------
     listed
-        The versions of the service's targets that take new work.
+        The versions of the service's targets that accept new requests.
     """
     versions = set(listed)
-    rollout = knowledge.rollout
+    rollout = view.rollout
     if rollout is None:
         return dict.fromkeys(versions, Admission.OPEN)
     ordered = rollout.order.version if rollout.order is not None else ""
-    on_trial = ordered if is_active(rollout) else ""
-    standings = {
-        version: _judge_other(rollout, version) for version in versions if version != on_trial
+    canary = ordered if is_active(rollout) else ""
+    admissions = {
+        version: _admit_other(rollout, version) for version in versions if version != canary
     }
-    if on_trial in versions:
-        _judge_trial(knowledge, standings, on_trial)
-    _keep_served(rollout, standings, ordered)
-    return standings
+    if canary in versions:
+        _admit_canary(view, admissions, canary)
+    _ensure_open(rollout, admissions, ordered)
+    return admissions
 
 
-def _judge_other(rollout: ServiceRollout, version: str) -> Admission:
-    """Judge a version that is not on trial."""
+def _admit_other(rollout: ServiceRollout, version: str) -> Admission:
+    """Return the admission of a version other than the canary."""
     if not rollout.in_force:
         return Admission.CLOSED if version in rollout.rejected else Admission.OPEN
-    # The list tells no version of some targets; those take part as they always did.
+    # Targets that are listed without a version take part in every rollout.
     is_served = version in ("", rollout.in_force)
     return Admission.OPEN if is_served else Admission.CLOSED
 
 
-def _judge_trial(
-    knowledge: ServiceRolloutView, standings: dict[str, Admission], on_trial: str
-) -> None:
-    rollout = knowledge.rollout
+def _admit_canary(view: ServiceRolloutView, admissions: dict[str, Admission], canary: str) -> None:
+    rollout = view.rollout
     assert rollout is not None
     assert rollout.order is not None
-    if not knowledge.is_leased:
-        standings[on_trial] = Admission.CLOSED
+    if not view.is_leased:
+        admissions[canary] = Admission.CLOSED
     elif rollout.order.state is RolloutState.switching:
-        standings.update(dict.fromkeys(standings, Admission.CLOSED))
-        standings[on_trial] = Admission.OPEN
+        admissions.update(dict.fromkeys(admissions, Admission.CLOSED))
+        admissions[canary] = Admission.OPEN
     else:
-        standings[on_trial] = Admission.CANARY if knowledge.may_sample else Admission.CLOSED
+        admissions[canary] = Admission.CANARY if view.may_sample else Admission.CLOSED
 
 
-def _keep_served(rollout: ServiceRollout, standings: dict[str, Admission], ordered: str) -> None:
-    """Open a version that was ordered where no other is left.
+def _ensure_open(rollout: ServiceRollout, admissions: dict[str, Admission], ordered: str) -> None:
+    """Open the ordered version if no other version is open.
 
-    Where a process missed the end of a rollout, the list shows only targets of the version
-    that the operator ordered. All others stay closed: a version that nobody ordered may be
-    another's, and requests must not reach it.
+    This happens when a process missed the end of a rollout. Versions that no operator
+    ordered stay closed.
     """
-    if any(standing is Admission.OPEN for standing in standings.values()):
+    if any(admission is Admission.OPEN for admission in admissions.values()):
         return
-    if ordered in standings and ordered not in rollout.rejected:
-        standings[ordered] = Admission.OPEN
+    if ordered in admissions and ordered not in rollout.rejected:
+        admissions[ordered] = Admission.OPEN
 
 
 @dataclass(frozen=True)
 class ExposureLimit:
-    """Say how many of a service's requests a version may get until its order's deadline.
+    """Limit the requests that a version may receive until its order's deadline.
 
     Parameters
     ----------
     share
-        As a share of all of them.
+        As a share of all requests of the service.
     extra
-        Beside those.
+        A fixed number of requests in addition.
     """
 
     share: float = 0.0
@@ -134,18 +129,17 @@
 
 @dataclass
 class Exposure:
-    """Draw the sample that a version on trial gets: a fixed share of each route's requests.
+    """Sample a fixed share of each route's requests for the canary version.
 
-    The share holds of what this decider placed itself, so that it holds of all requests
-    together however many deciders there are, also in a split and after a restart, without
-    any of them knowing the others.
+    The share applies to the requests that this process placed, so the limit holds for any
+    number of processes without coordination, also in a partition or after a restart.
 
     Parameters
     ----------
     number
-        The order that is counted.
-    bound
-        What the version may get until the deadline.
+        The number of the order.
+    limit
+        What the version may receive until the deadline.
     """
 
     number: int
@@ -153,35 +147,35 @@
     placed: dict[str, int] = field(default_factory=dict)
     sampled: dict[str, int] = field(default_factory=dict)
 
-    def is_due(self, route: str, is_leading: bool) -> bool:
-        """Tell whether a route's next request may go to the version on trial.
+    def is_due(self, route: str, is_primary: bool) -> bool:
+        """Tell whether a route's next request may go to the canary version.
 
         Parameters
         ----------
-        is_leading
-            Whether most gateways ask this decider; only then it uses the fixed allowance.
+        is_primary
+            Whether most gateways ask this scheduler; only then it uses the fixed allowance.
         """
-        following = self.placed.get(route, 0) + 1
+        placed = self.placed.get(route, 0) + 1
         sampled = self.sampled.get(route, 0) + 1
-        if sampled <= _TRIAL_PART * self.limit.share * following:
+        if sampled <= _CANARY_SHARE * self.limit.share * placed:
             return True
-        is_first = sum(self.sampled.values()) < _EXTRA_PART * self.limit.extra
-        return is_leading and is_first and _EVERY * sampled <= following
+        has_extra = sum(self.sampled.values()) < _EXTRA_SHARE * self.limit.extra
+        return is_primary and has_extra and _EXTRA_INTERVAL * sampled <= placed
 
-    def compute_remaining(self, is_leading: bool) -> float:
-        """Return how many more requests the version may get.
+    def compute_remaining(self, is_primary: bool) -> float:
+        """Return how many more requests the version may receive.
 
         Parameters
         ----------
-        is_leading
-            Whether most gateways ask this decider; only then it uses the fixed allowance.
+        is_primary
+            Whether most gateways ask this scheduler; only then it uses the fixed allowance.
         """
-        extra = _EXTRA_PART * self.limit.extra if is_leading else 0.0
-        allowed = _MOST_PART * self.limit.share * sum(self.placed.values()) + extra
+        extra = _EXTRA_SHARE * self.limit.extra if is_primary else 0.0
+        allowed = _TOTAL_SHARE * self.limit.share * sum(self.placed.values()) + extra
         return allowed - sum(self.sampled.values())
 
     def record(self, route: str, is_sampled: bool) -> None:
-        """Count a request that was placed."""
+        """Count a placed request."""
         self.placed[route] = self.placed.get(route, 0) + 1
         if is_sampled:
             self.sampled[route] = self.sampled.get(route, 0) + 1
--- a/troutstand/core/rollouts/outcomes.py
+++ b/troutstand/core/rollouts/outcomes.py
@@ -1,25 +1,25 @@
-"""Count what the targets of a version on trial answer, beside those of the one in force."""
+"""Count the responses of targets, for the canary version and the version in force."""
 
 from __future__ import annotations
 
 from collections import deque
 from dataclasses import dataclass, field
 
-# Answers are counted by seconds of arrival for so long; older ones are summed up. A version
-# that turns bad later is judged by its last seconds, not by the good ones before.
-_KEPT_S = 10
+# Counts are kept per second of arrival for this long, then merged into one total. Recent
+# counts show a version that starts to fail late in its rollout.
+_RECENT_S = 10
 
 
 @dataclass(frozen=True)
 class Outcome:
-    """Tell how one answer came.
+    """Describe the outcome of one request.
 
     Parameters
     ----------
     is_failed
-        Whether the target failed it or broke it off.
+        Whether the response was an error, broke off or timed out.
     is_slow
-        Whether it took several times what the version in force would typically need.
+        Whether it took several times the typical time of the version in force.
     """
 
     route: str
@@ -31,7 +31,7 @@
 
 @dataclass
 class Tally:
-    """Count the answers of one target on one route."""
+    """Count the responses of one target on one route."""
 
     responses: int = 0
     failed: int = 0
@@ -46,11 +46,11 @@
 
 @dataclass(frozen=True)
 class TallyKey:
-    """Name what a tally counts."""
+    """Identify what a tally counts."""
 
     route: str
     target: str
-    is_trial: bool
+    is_canary: bool
 
 
 Tallies = dict[TallyKey, Tally]
@@ -58,28 +58,28 @@
 
 @dataclass
 class OutcomeCounts:
-    """Hold the tallies of one order, by second."""
+    """Hold the tallies of one order."""
 
     number: int
     _older: Tallies = field(default_factory=dict)
     _recent: deque[tuple[int, Tallies]] = field(default_factory=deque)
 
     def record(self, outcome: Outcome, now_s: float) -> None:
-        """Count an answer."""
+        """Count an outcome."""
         second = int(now_s)
         if not self._recent or self._recent[-1][0] != second:
             self._recent.append((second, {}))
-            self._sum_up(second)
+            self._merge_older(second)
         key = TallyKey(outcome.route, outcome.target, outcome.is_canary)
         tally = self._recent[-1][1].setdefault(key, Tally())
         tally.add(Tally(1, int(outcome.is_failed), int(outcome.is_slow)))
 
-    def _sum_up(self, second: int) -> None:
-        while self._recent and self._recent[0][0] < second - _KEPT_S:
+    def _merge_older(self, second: int) -> None:
+        while self._recent and self._recent[0][0] < second - _RECENT_S:
             _merge(self._older, self._recent.popleft()[1])
 
     def collect(self) -> Tallies:
-        """Return all that was counted."""
+        """Return the tallies of the whole order."""
         merged: Tallies = {}
         _merge(merged, self._older)
         for _, tallies in self._recent:
@@ -87,7 +87,7 @@
         return merged
 
     def collect_since(self, since_s: float) -> Tallies:
-        """Return what was counted lately; at most the last seconds are kept apart."""
+        """Return the tallies since a time, at most of the last `_RECENT_S` seconds."""
         merged: Tallies = {}
         for second, tallies in self._recent:
             if second >= int(since_s):
