--- a/benchmarks/dispatching.py
+++ b/benchmarks/dispatching.py
@@ -110,7 +110,7 @@
                 self._dispatcher.record_first_byte(FirstByte(request, target, 0.1), now_s)
             case "end":
                 ended = Ended(request, target, Ending.whole, 0.1, 0.4, 0.0, 20)
-                self._dispatcher.end(ended, now_s)
+                self._dispatcher.finish(ended, now_s)
             case "tick":
                 self._dispatcher.tick(now_s)
 
--- a/troutstand/core/admissionqueue.py
+++ b/troutstand/core/admissionqueue.py
@@ -63,6 +63,7 @@
         return decisions
 
     def _dequeue(self, pool: Pool, request: str, now_s: float) -> None:
+        """Remove a waiting request and refund its share and quota charges."""
         waiting = pool.waiting.pop(request)
         if waiting is None:
             return
--- a/troutstand/core/dispatch.py
+++ b/troutstand/core/dispatch.py
@@ -185,7 +185,7 @@
                 # Its prefill backlog has shrunk, so it may suit waiting requests now.
                 self._serve_target(pool, state, now_s)
 
-    def end(self, ended: Ended, now_s: float) -> None:
+    def finish(self, ended: Ended, now_s: float) -> None:
         """Release the slot of a request and record how it ended."""
         if ended.ending is Ending.broken and ended.fingerprint:
             self.crashes.record_broken(ended.fingerprint, ended.target, ended.total_s, now_s)
@@ -198,8 +198,8 @@
                 continue
             run = state.finish(ended.request)
             if run is not None:
-                is_kept = ended.ending in (Ending.whole, Ending.failed)
-                state.record_release(run.owner, is_kept, now_s)
+                keeps_connection = ended.ending in (Ending.whole, Ending.failed)
+                state.record_release(run.owner, keeps_connection, now_s)
                 self._record_ending(pool, state, run, ended, now_s)
             self._serve_target(pool, state, now_s)
 
@@ -222,8 +222,6 @@
             state.record_loss(run, now_s)
             self.reach.record_unreachable(find_way(run.work, state), state.listed.target, now_s)
 
-    # Placement
-
     def _record_ending(
         self, pool: Pool, state: TargetState, run: RunningRequest, ended: Ended, now_s: float
     ) -> None:
@@ -261,6 +259,8 @@
             case Ending.left | Ending.kept_back:
                 pass
 
+    # Placement
+
     def _serve_arrival(self, pool: Pool, waiting: WaitingRequest, now_s: float) -> None:
         """Place a new request if a target suits it and few requests rank before it.
 
@@ -322,15 +322,15 @@
             if self._options.protects_tiers and pool.is_kept_for_higher(waiting.work.tier, now_s):
                 # No later request has a higher tier.
                 return
-            blame = self.crashes.get_suspicion(waiting.work.fingerprint, now_s)
+            suspicion = self.crashes.get_suspicion(waiting.work.fingerprint, now_s)
             suitable = open_
-            if blame is Suspicion.ISOLATED:
+            if suspicion is Suspicion.ISOLATED:
                 suitable = self._choice.list_trial(pool, waiting.work, open_, now_s)
                 if not suitable:
                     # Only this request waits for an isolated target.
                     continue
             canary = None
-            if blame is Suspicion.NONE:
+            if suspicion is Suspicion.NONE:
                 canary = self._choice.choose_canary(pool, waiting, canaries, now_s)
             if canary is not None:
                 self._start(pool, canary, waiting, len(canaries), now_s)
--- a/troutstand/core/fairqueue.py
+++ b/troutstand/core/fairqueue.py
@@ -30,7 +30,7 @@
 
     @property
     def request(self) -> RequestId:
-        """Return the request's id."""
+        """Return the id of the request."""
         return RequestId(self.ask.request)
 
 
@@ -70,7 +70,7 @@
         return [queue[index] for index in range(min(limit, len(queue)))]
 
     def remove(self, waiting: WaitingRequest) -> None:
-        """Remove a request."""
+        """Remove a waiting request."""
         name = waiting.ask.workspace
         queue = self._queues[name]
         if queue[0] is waiting:
--- a/troutstand/core/pool.py
+++ b/troutstand/core/pool.py
@@ -303,7 +303,7 @@
         return BusyTargets(
             count=len(busy),
             slot_interval_s=hold_s / slots if slots else float("inf"),
-            reading=min(
+            prefill_speed=min(
                 (self.know_reading(t) for t in busy),
                 key=lambda speed: speed.per_token_s,
                 default=_GUESS_READING,
@@ -325,7 +325,7 @@
             return outcome.others_risk > _LATE_HARM
         work = waiting.work
         is_prompt = bool(work.prompt_tokens)
-        alone_s = busy.reading.estimate(work.prompt_tokens) if is_prompt else busy.service_s
+        alone_s = busy.prefill_speed.estimate(work.prompt_tokens) if is_prompt else busy.service_s
         risk_there = estimate_miss_risk(busy.slot_interval_s + alone_s, waiting.due_s - now_s)
         return risk_there + _WORTH_WAITING < outcome.first_byte_risk + outcome.others_risk
 
--- a/troutstand/core/scheduler.py
+++ b/troutstand/core/scheduler.py
@@ -198,11 +198,14 @@
         if self._must_refuse_suspect(ask, now_s):
             return self._shed_quarantined(waiting, now_s)
         if not self._has_usable(ask):
-            return self._shed(waiting, ResultCode.NO_TARGET, MIN_RETRY_S, "no live target")
-        rest_s = self._measure_rest(ask, now_s)
-        if now_s + rest_s > waiting.latest_start_s:
+            return self._shed(waiting, ResultCode.NO_TARGET, MIN_RETRY_S, "no usable target")
+        backoff_s = self._measure_rest(ask, now_s)
+        if now_s + backoff_s > waiting.latest_start_s:
             return self._shed(
-                waiting, ResultCode.TARGETS_RESTING, rest_s, "all usable targets requested backoff"
+                waiting,
+                ResultCode.TARGETS_RESTING,
+                backoff_s,
+                "all usable targets requested backoff",
             )
         use = self._workspaces.get(ask.workspace)
         if use is None:
--- a/troutstand/core/scheduling/placementestimate.py
+++ b/troutstand/core/scheduling/placementestimate.py
@@ -20,7 +20,7 @@
 
     count: int
     slot_interval_s: float
-    reading: PrefillSpeed
+    prefill_speed: PrefillSpeed
     service_s: float
 
 
--- a/troutstand/routing/placement.py
+++ b/troutstand/routing/placement.py
@@ -261,7 +261,7 @@
             self._tell_notice(ended.target)
         self._held.end(ended, self._table, read_clock_s())
         if isinstance(self._current, Alone):
-            self._local.end(ended, read_clock_s())
+            self._local.finish(ended, read_clock_s())
             self._deliver_local()
         else:
             self._node.send(self._current, ended)
--- a/troutstand/routing/scheduler.py
+++ b/troutstand/routing/scheduler.py
@@ -134,7 +134,7 @@
             case FirstByte():
                 self.dispatcher.record_first_byte(message, now_s)
             case Ended():
-                self.dispatcher.end(message, now_s)
+                self.dispatcher.finish(message, now_s)
             case TargetNotices(notices):
                 self._note_notices(peer, notices, now_s)
             case Abandon(request):
--- a/troutstand/testing/virtualload.py
+++ b/troutstand/testing/virtualload.py
@@ -147,7 +147,7 @@
         first = FirstByte(placed.request, placed.target, first_s)
         ended = Ended(placed.request, placed.target, Ending.whole, first_s, job.hold_s)
         self._at(now_s + first_s, lambda at_s: self.dispatcher.record_first_byte(first, at_s))
-        self._at(now_s + job.hold_s, lambda at_s: self.dispatcher.end(ended, at_s))
+        self._at(now_s + job.hold_s, lambda at_s: self.dispatcher.finish(ended, at_s))
 
     def _decline(self, declined: Declined, outcome: JobOutcome, now_s: float) -> None:
         outcome.refusals.append(declined)
--- a/troutstand/testing/worstload.py
+++ b/troutstand/testing/worstload.py
@@ -202,7 +202,7 @@
             max(1, caller.output // _STRIDE),
         )
         self._at(now_s + first_s, lambda at_s: self._dispatcher.record_first_byte(first, at_s))
-        self._at(now_s + total_s, lambda at_s: self._dispatcher.end(ended, at_s))
+        self._at(now_s + total_s, lambda at_s: self._dispatcher.finish(ended, at_s))
         tier = caller.arrival.route_tier
         is_in_time = now_s + first_s - caller.arrival.at_s <= KINDS[tier].objective_s
         counts = self.result.in_time if is_in_time else self.result.late
--- a/troutstand/tests/steps/clock.py
+++ b/troutstand/tests/steps/clock.py
@@ -157,7 +157,7 @@
     desk.end(desk.arrive(), total_s=total_s)
     request = desk.arrive()
     target = desk.placed.pop(request)
-    desk.dispatcher.end(Ended(request, target, Ending.whole), desk.now_s)
+    desk.dispatcher.finish(Ended(request, target, Ending.whole), desk.now_s)
 
 
 @then("requests are taken to hold their slot for {hold_s:g} s")
--- a/troutstand/tests/steps/crashes.py
+++ b/troutstand/tests/steps/crashes.py
@@ -40,13 +40,13 @@
         is_target_gone=is_gone,
         fingerprint=body if ending is Ending.broken else "",
     )
-    desk.dispatcher.end(ended, desk.now_s)
+    desk.dispatcher.finish(ended, desk.now_s)
     desk.collect()
 
 
 def _refuse_connection(desk: Desk, target: str) -> None:
     ended = Ended("other", target, Ending.unsent, total_s=0.0, is_target_gone=True)
-    desk.dispatcher.end(ended, desk.now_s)
+    desk.dispatcher.finish(ended, desk.now_s)
 
 
 def _run(desk: Desk, body: str) -> str:
--- a/troutstand/tests/steps/dispatch.py
+++ b/troutstand/tests/steps/dispatch.py
@@ -76,7 +76,7 @@
     def end(self, request: str, ending: Ending = Ending.whole, total_s: float = 0.1) -> None:
         """End a placed request."""
         target = self.placed.pop(request)
-        self.dispatcher.end(Ended(request, target, ending, 0.05, total_s, 1), self.now_s)
+        self.dispatcher.finish(Ended(request, target, ending, 0.05, total_s, 1), self.now_s)
         self.collect()
 
     def pass_time(self, length_s: float) -> None:
--- a/troutstand/tests/steps/reach.py
+++ b/troutstand/tests/steps/reach.py
@@ -68,7 +68,7 @@
     ) -> list[str]:
         """End a request and return the targets of those that waited."""
         ended = Ended(request, target, ending, 0.05, 0.1, is_target_gone=is_target_gone)
-        self.dispatcher.end(ended, self.now_s)
+        self.dispatcher.finish(ended, self.now_s)
         answers = [d.answer for d in self.dispatcher.drain_decisions()]
         return [a.target for a in answers if isinstance(a, Placed)]
 
--- a/troutstand/tests/steps/takeover.py
+++ b/troutstand/tests/steps/takeover.py
@@ -211,7 +211,7 @@
 
 @when("the slot gets free there")
 def free_taken_slot(context: Context) -> None:
-    context.dispatcher.end(Ended("first", context.runs, Ending.left), _NOW_S)
+    context.dispatcher.finish(Ended("first", context.runs, Ending.left), _NOW_S)
 
 
 @then("the one that moved has it")
--- a/troutstand/tests/steps/worstload.py
+++ b/troutstand/tests/steps/worstload.py
@@ -161,7 +161,7 @@
         context.after_first = list(looked)
         looked.clear()
         small = desk.placed.pop(request)
-        desk.dispatcher.end(Ended(request, small, Ending.turned_away), desk.now_s)
+        desk.dispatcher.finish(Ended(request, small, Ending.turned_away), desk.now_s)
     context.after_end = looked
     context.target = state.listed.target
 
