--- a/troutstand/core/acceptor.py
+++ b/troutstand/core/acceptor.py
@@ -1,4 +1,4 @@
-"""Decide what a keeper durably promises, accepts and remembers."""
+"""Implement the acceptor state of a keeper: promises, accepted values and decided contents."""
 
 from __future__ import annotations
 
@@ -39,26 +39,26 @@
 
 TABLE_PREFIX = "table/"
 CLAIM_PREFIXES = ("claim/", "outcome/")
-# Registers of older table versions are closed; their changes live in the table.
-KEPT_TABLE_REGISTERS = 1000
+# Registers of older table versions reject proposals; the table holds their changes.
+RETAINED_TABLE_REGISTERS = 1000
 _LINE_NAMES = frozenset(line.value for line in Line)
 
 
 @dataclass(frozen=True)
 class AcceptorResult:
-    """Carry a reply and what must be synced before it is sent."""
+    """Hold a reply and the records to sync to disk before it is sent."""
 
     reply: Promise | Accepted | Refused | CopyPage
     records: list[StoredRecord] = field(default_factory=list)
 
 
 class Acceptor:
-    """Hold one keeper's registers, keeper set and table.
+    """Hold one keeper's registers, keeper set, table and decided contents.
 
     Parameters
     ----------
     identity
-        Whose disk this is; only a disk that the keeper set names votes.
+        Identifies the disk; only disks in the keeper set vote.
     """
 
     def __init__(self, identity: StoredIdentity) -> None:
@@ -66,7 +66,6 @@
         self.keepers: KeeperSet | None = None
         self.registers: dict[str, RegisterState] = {}
         self.follower = Follower()
-        # The newest decided content of each line.
         self.decided = {line: StoredConfiguration(0, b"", line) for line in Line}
 
     @property
@@ -81,27 +80,27 @@
 
     @property
     def epoch(self) -> int:
-        """Return the epoch of the known keeper set; 0 before there is one."""
+        """Return the epoch of the known keeper set; 0 if there is none."""
         return self.keepers.epoch if self.keepers else 0
 
     def find_member(self) -> Member | None:
-        """Return this disk's membership, if the keeper set names it."""
+        """Return the member of the keeper set that is this disk, if any."""
         members = self.keepers.members if self.keepers else []
         own = [m for m in members if m.process == self.identity.process]
         return own[0] if own and own[0].disk_id == self.identity.disk_id else None
 
     @property
     def is_voting(self) -> bool:
-        """Tell whether this disk's word counts."""
+        """Tell whether this disk is a voting member."""
         member = self.find_member()
         return member is not None and member.state is MemberState.voting
 
     def report_keepers(self) -> KeepersReply:
-        """Tell the known keeper set and this disk."""
+        """Return the known keeper set and this disk's identity."""
         return KeepersReply(self.identity.process, self.identity.disk_id, self.keepers)
 
     def load_record(self, record: StoredRecord) -> None:
-        """Take a record back from the disk or from another keeper's copy."""
+        """Apply a record read from the disk or copied from another keeper."""
         match record:
             case StoredRegister(state):
                 self.registers[state.register] = state
@@ -118,7 +117,7 @@
                 pass
 
     def handle(self, message: Prepare | Accept, now_s: float) -> AcceptorResult:
-        """Answer a proposer."""
+        """Handle a message of a proposer."""
         refusal = self._check_voter(message)
         if refusal:
             return AcceptorResult(refusal)
@@ -139,55 +138,61 @@
             return Refused(int(ResultCode.KEEPER_NOT_VOTING), "", self.keepers)
         if message.epoch != self.epoch:
             return Refused(int(ResultCode.KEEPER_EPOCH), "", self.keepers)
-        version = _parse_version(message.register)
-        oldest = self.follower.version - KEPT_TABLE_REGISTERS
+        version = _parse_table_version(message.register)
+        oldest = self.follower.version - RETAINED_TABLE_REGISTERS
         if version is not None and version <= oldest:
-            return Refused(int(ResultCode.TABLE_STALE), f"version {version} is long decided")
-        if self._is_settled(message.register):
-            detail = f"{message.register}: a version as high is decided"
+            return Refused(
+                int(ResultCode.TABLE_STALE),
+                f"version {version} is decided and its register no longer retained",
+            )
+        if self._is_superseded(message.register):
+            detail = f"{message.register}: the same or a later version is already decided"
             return Refused(int(ResultCode.CONFIGURATION_STALE), detail)
         return None
 
-    def _is_settled(self, register: str) -> bool:
-        """Tell whether a register's line is known to have come as far or further."""
-        place = parse_line_register(register)
-        return place is not None and place.version <= self.decided[place.line].version
+    def _is_superseded(self, register: str) -> bool:
+        """Tell whether the register's version, or a later one, is known to be decided."""
+        line_version = parse_line_register(register)
+        return (
+            line_version is not None
+            and line_version.version <= self.decided[line_version.line].version
+        )
 
     def install_decided(self, record: StoredConfiguration) -> list[StoredRecord]:
-        """Take a newer decided content of a line and drop the registers it settles."""
+        """Install a newer decided content of a line and drop the registers it supersedes."""
         if record.version <= self.decided[record.line].version:
             return []
         self.decided[record.line] = record
-        for name in [name for name in self.registers if self._is_settled(name)]:
+        for name in [name for name in self.registers if self._is_superseded(name)]:
             del self.registers[name]
         return [record]
 
     def report_newest(self, ask: NewestAsk) -> Newest | Refused:
-        """Tell how far a line has come here, as a vote."""
+        """Return the newest decided and accepted versions of a line, if this disk votes."""
         if not self.is_voting or ask.epoch != self.epoch:
             return Refused(int(ResultCode.KEEPER_EPOCH), "", self.keepers)
-        places = [
+        versions = [
             parse_line_register(name)
             for name, state in self.registers.items()
             if state.accepted is not None
         ]
-        numbers = [p.version for p in places if p is not None and p.line is ask.line]
-        return Newest(self.decided[ask.line].version, max(numbers, default=0))
+        accepted = [v.version for v in versions if v is not None and v.line is ask.line]
+        return Newest(self.decided[ask.line].version, max(accepted, default=0))
 
     def reset(self, identity: StoredIdentity) -> None:
-        """Begin again as a new disk; what is decided for all stays."""
+        """Continue as a new disk without registers; decided contents stay."""
         self.identity = identity
         self.registers = {}
 
     def install_keepers(self, keepers: KeeperSet) -> list[StoredRecord]:
-        """Take a newer keeper set; an older one is passed over."""
+        """Install a keeper set of a newer epoch; ignore others."""
         if keepers.epoch <= self.epoch:
             return []
         self.keepers = keepers
         return [StoredKeepers(keepers)]
 
     def copy_page(self, ask: CopyAsk) -> CopyPage | Refused:
-        """Return a page of this keeper's state for a keeper that replaces another."""
+        """Return a page of this keeper's state for a new member to copy."""
         if ask.epoch != self.epoch or not self.is_voting:
             return Refused(int(ResultCode.KEEPER_EPOCH), "", self.keepers)
         names = sorted(name for name in self.registers if name > ask.after)
@@ -200,15 +205,15 @@
         return CopyPage(records, len(page) == len(names), page[-1] if page else "")
 
     def merge_record(self, record: StoredRecord) -> list[StoredRecord]:
-        """Take a copied record where it is newer than what is held."""
+        """Merge a record copied from another keeper; return the records that changed."""
         match record:
             case StoredRegister(state):
-                if self._is_settled(state.register):
+                if self._is_superseded(state.register):
                     return []
-                held = self.registers.get(state.register)
-                if held is not None and _is_newer(held, state):
+                current = self.registers.get(state.register)
+                if current is not None and _is_newer(current, state):
                     return []
-                self.registers[state.register] = _merge_states(held, state)
+                self.registers[state.register] = _merge_states(current, state)
                 return [StoredRegister(self.registers[state.register])]
             case StoredTable(version, table):
                 return [record] if self.follower.install(version, table) else []
@@ -218,8 +223,8 @@
                 return []
 
     def collect_snapshot(self, now_s: float, retention_s: float) -> list[StoredRecord]:
-        """Drop what is past its retention and return all that remains."""
-        oldest = self.follower.version - KEPT_TABLE_REGISTERS
+        """Drop expired registers and return all records that remain."""
+        oldest = self.follower.version - RETAINED_TABLE_REGISTERS
         expired = [
             name
             for name, state in self.registers.items()
@@ -237,7 +242,7 @@
 
 
 def list_voters(keepers: KeeperSet | None) -> frozenset[ProcessId]:
-    """Return the keepers that count in the quorum."""
+    """Return the voting members."""
     members = keepers.members if keepers else []
     return frozenset(ProcessId(m.process) for m in members if m.state is MemberState.voting)
 
@@ -246,26 +251,26 @@
     return RegisterState(state.register, state.promised, state.accepted, state.value, now_s)
 
 
-def _parse_version(register: str) -> int | None:
+def _parse_table_version(register: str) -> int | None:
     digits = register.removeprefix(TABLE_PREFIX)
     return int(digits) if register.startswith(TABLE_PREFIX) and digits.isdigit() else None
 
 
 @dataclass(frozen=True)
 class LineVersion:
-    """Name one version of a line."""
+    """Identify one version of a line."""
 
     line: Line
     version: int
 
 
-def name_line_register(place: LineVersion) -> RegisterName:
+def name_line_register(line_version: LineVersion) -> RegisterName:
     """Name the register that holds the content of one version of a line."""
-    return RegisterName(f"{place.line.value}/{place.version}")
+    return RegisterName(f"{line_version.line.value}/{line_version.version}")
 
 
 def parse_line_register(register: str) -> LineVersion | None:
-    """Return the place whose register this is, or None for another register."""
+    """Return the line version of a register, or None for another kind of register."""
     name, _, digits = register.partition("/")
     if name not in _LINE_NAMES or not digits.isdigit():
         return None
@@ -275,20 +280,20 @@
 def _is_expired(state: RegisterState, oldest_s: float, oldest_version: int) -> bool:
     if state.register.startswith(CLAIM_PREFIXES):
         return state.changed_at_s < oldest_s
-    version = _parse_version(state.register)
+    version = _parse_table_version(state.register)
     return version is not None and version <= oldest_version
 
 
-def _is_newer(held: RegisterState, other: RegisterState) -> bool:
-    promised = rank_ballot(held.promised) >= rank_ballot(other.promised)
-    return promised and rank_ballot(held.accepted) >= rank_ballot(other.accepted)
+def _is_newer(current: RegisterState, other: RegisterState) -> bool:
+    is_promise_newer = rank_ballot(current.promised) >= rank_ballot(other.promised)
+    return is_promise_newer and rank_ballot(current.accepted) >= rank_ballot(other.accepted)
 
 
-def _merge_states(held: RegisterState | None, other: RegisterState) -> RegisterState:
-    if held is None:
+def _merge_states(current: RegisterState | None, other: RegisterState) -> RegisterState:
+    if current is None:
         return other
-    promised = max(held.promised, other.promised, key=rank_ballot)
-    accepted = max(held, other, key=lambda state: rank_ballot(state.accepted))
+    promised = max(current.promised, other.promised, key=rank_ballot)
+    accepted = max(current, other, key=lambda state: rank_ballot(state.accepted))
     return RegisterState(
-        held.register, promised, accepted.accepted, accepted.value, other.changed_at_s
+        current.register, promised, accepted.accepted, accepted.value, other.changed_at_s
     )
--- a/troutstand/core/command.py
+++ b/troutstand/core/command.py
@@ -1,14 +1,13 @@
-"""Run a command that may not be repeated at most once, whoever resends it.
+"""Run a non-repeatable command at most once, across resends by its caller.
 
-Each attempt has two write-once registers. The claim names the one process that
-may dispatch; the outcome holds the final answer. "Not run" is said only by the
-claim's owner, which then never dispatches: a dispatcher that froze between its
-last check and its send still holds the claim, so that everybody else can close
-the attempt only as "unknown" (issue 4).
+Each attempt has two write-once registers. The claim names the only process that may
+dispatch; the outcome holds the final answer. Only the claim's owner may record "not
+run", and it never dispatches afterwards: a suspended owner may still send, so other
+processes can close the attempt only as "unknown".
 
-A sending uses the one attempt that its caller numbered, once all lower ones
-are closed. Otherwise an earlier sending, long given up, could open the next
-attempt after its caller was told "not run"; the model found that.
+A call uses the attempt that its caller numbered, once all lower ones are closed.
+Otherwise an earlier call that the caller has abandoned could open the next attempt
+after the caller was told "not run".
 """
 
 from __future__ import annotations
@@ -20,7 +19,7 @@
 from troutstand.core.ids import CommandKey, Incarnation, ProcessId, RegisterName
 from troutstand.generated.messages import Claim, Outcome, OutcomeKind
 
-# The owner of an attempt that was closed before anybody claimed it.
+# The owner of an attempt that was closed before any process claimed it.
 NO_OWNER = ProcessId("")
 
 
@@ -44,7 +43,7 @@
 
 @dataclass(frozen=True)
 class ReadClaim:
-    """Read who claimed an attempt beyond the caller's."""
+    """Read the claim of an attempt after the caller's."""
 
     register: RegisterName
 
@@ -60,7 +59,7 @@
 
 @dataclass(frozen=True)
 class AskOwner:
-    """Ask the owner how the attempt ended and wait for it."""
+    """Ask the owner for the outcome of the attempt and wait for it."""
 
     owner: ProcessId
     register: RegisterName
@@ -76,14 +75,14 @@
 
 @dataclass(frozen=True)
 class Answer:
-    """Give the caller the recorded outcome."""
+    """Return the recorded outcome to the caller."""
 
     outcome: Outcome
 
 
 @dataclass(frozen=True)
 class Refuse:
-    """Refuse the caller."""
+    """Refuse the call."""
 
     code: ResultCode
     run: Run
@@ -94,19 +93,19 @@
 
 @dataclass(frozen=True)
 class ClaimDecided:
-    """The claim register holds this claim for good."""
+    """The claim register is decided."""
 
     claim: Claim
 
 
 @dataclass(frozen=True)
 class ClaimBlank:
-    """A majority holds no claim of the attempt."""
+    """A majority has accepted no claim of the attempt."""
 
 
 @dataclass(frozen=True)
 class OutcomeDecided:
-    """The outcome register holds this outcome for good."""
+    """The outcome register is decided."""
 
     outcome: Outcome
 
@@ -118,19 +117,19 @@
 
 @dataclass(frozen=True)
 class OwnerAnswered:
-    """The owner told the outcome, or that the command runs still."""
+    """The owner reported the outcome, or None if the command is still running."""
 
     outcome: Outcome | None
 
 
 @dataclass(frozen=True)
 class OwnerGone:
-    """The owner cannot be asked: dead, restarted or cut off."""
+    """The owner has ended, restarted or is unreachable."""
 
 
 @dataclass(frozen=True)
 class DispatchEnded:
-    """The one dispatch came to an end, or never left."""
+    """The dispatch ended, or failed before it was sent."""
 
     outcome: Outcome
 
@@ -147,12 +146,12 @@
 
 
 class CommandState(Enum):
-    """Tell how far a command has come in this process."""
+    """State of a command in this process."""
 
     CLAIMING = "claiming"
     DISPATCHING = "dispatching"
     RECORDING = "recording"
-    READING = "following"
+    FOLLOWING = "following"
     ASKING = "asking"
     CLOSING = "closing"
     ENDED = "ended"
@@ -166,23 +165,23 @@
 
 
 def make_not_run_outcome(code: ResultCode) -> Outcome:
-    """Make the outcome of an attempt that its owner gave up before sending."""
+    """Make the outcome of an attempt that its owner ended before dispatching."""
     return Outcome(kind=OutcomeKind.not_run, code=int(code), status=503)
 
 
 class Command:
-    """Decide what one process does about one command.
+    """Run the state machine of one command in one process.
 
     Parameters
     ----------
     key
-        Names the command across resends and entry hosts.
-    minted
-        Whether this process made the key, so that nobody else can know it.
+        Identifies the command across resends and entry hosts.
+    is_key_generated
+        Whether this process generated the key, so that no other process knows it.
     last_attempt
         The attempt that the caller numbered, from 1.
     digest
-        Digest of the call, to tell a resend from another call of the same key.
+        Digest of the call; distinguishes a resend from another call with the same key.
     """
 
     def __init__(
@@ -205,29 +204,29 @@
         self._outcome: Outcome | None = None
 
     @property
-    def owns(self) -> bool:
+    def is_owner(self) -> bool:
         """Tell whether this process holds the attempt's claim."""
         return self.state in (CommandState.DISPATCHING, CommandState.RECORDING)
 
     def start(self) -> Action:
-        """Begin with the first attempt: claim it, or close it where it is not the caller's."""
+        """Claim the current attempt, or close it if it precedes the caller's."""
         claim = self._claim
         if self.attempt < self.last_attempt:
             claim = Claim(NO_OWNER, "", "", self._claim.digest)
         return ProposeClaim(name_claim_register(self.key, self.attempt), claim)
 
     def receive(self, event: Event) -> Action | None:
-        """Take an event and return what to do next."""
+        """Handle an event and return the next action; None if the event is ignored."""
         match (self.state, event):
             case (CommandState.CLAIMING, ClaimDecided(claim)):
                 return self._handle_claim(claim)
             case (CommandState.CLAIMING, RegisterUnreachable()):
                 return self._abandon_claim()
-            case (CommandState.READING, ClaimDecided(claim)):
+            case (CommandState.FOLLOWING, ClaimDecided(claim)):
                 return self._handle_read_claim(claim)
-            case (CommandState.READING, ClaimBlank()):
+            case (CommandState.FOLLOWING, ClaimBlank()):
                 return self._refuse(ResultCode.COMMAND_NOT_RUN, Run.NO)
-            case (CommandState.READING, RegisterUnreachable()):
+            case (CommandState.FOLLOWING, RegisterUnreachable()):
                 return self._refuse(ResultCode.COMMAND_UNAVAILABLE, Run.UNKNOWN)
             case (CommandState.DISPATCHING, DispatchEnded(outcome)):
                 return self._propose_outcome(outcome)
@@ -263,9 +262,9 @@
         return self._ask_owner(claim)
 
     def _read_next_claim(self) -> Action:
-        # A caller that began to count anew may have run a later attempt.
+        # A caller that restarted its numbering may have run a later attempt.
         self.attempt += 1
-        self.state = CommandState.READING
+        self.state = CommandState.FOLLOWING
         return ReadClaim(name_claim_register(self.key, self.attempt))
 
     def _ask_owner(self, claim: Claim) -> Action:
@@ -274,8 +273,7 @@
         return AskOwner(ProcessId(claim.owner), register, claim.nonce)
 
     def _abandon_claim(self) -> Action:
-        # The claim may yet be decided in our name; the nonce is never used
-        # again, so that nothing follows from it.
+        # The claim may still be decided later; its nonce is never reused, so it has no effect.
         return self._refuse(
             ResultCode.COMMAND_UNAVAILABLE, Run.NO if self.is_key_generated else Run.UNKNOWN
         )
@@ -286,15 +284,14 @@
         return ProposeOutcome(name_outcome_register(self.key, self.attempt), outcome, is_owner=True)
 
     def _finish_dispatched(self) -> Action:
-        # What the target told is true even where somebody closed the attempt
-        # as unknown meanwhile.
+        # The target's outcome is valid even if another process closed the attempt as unknown.
         assert self._outcome is not None
         return self._finish(self._outcome)
 
     def _handle_owner_outcome(self, outcome: Outcome) -> Action:
         if outcome.kind is OutcomeKind.not_run:
-            # Only once its end is durable may the next attempt begin, so that
-            # every later resend takes the same way.
+            # The outcome must be durable before the next attempt starts, so that later
+            # resends follow the same path.
             return self._close_attempt(outcome)
         return self._handle_outcome(outcome)
 
--- a/troutstand/core/register.py
+++ b/troutstand/core/register.py
@@ -1,8 +1,8 @@
-"""Agree on a value once per register by a majority of keepers, without a leader.
+"""Write-once registers, decided by a majority of keepers without a leader.
 
 Each register is one instance of single-decree Paxos (Lamport, "Paxos Made
-Simple", 2001). Round 0 needs no prepare; it belongs to the single process that
-the register's own name or value designates, and is used for one value only.
+Simple", 2001). Round 0 skips the prepare phase; only the single process that the
+register's name or value designates may use it, and for one value only.
 """
 
 from __future__ import annotations
@@ -26,17 +26,17 @@
 
 
 def rank_ballot(ballot: Ballot | None) -> tuple[int, str]:
-    """Return a key that sorts ballots; no ballot sorts first."""
+    """Return a sort key of a ballot; None sorts first."""
     if ballot is None:
         return (-1, "")
     return (ballot.round, ballot.proposer)
 
 
 def handle_prepare(state: RegisterState, message: Prepare) -> tuple[RegisterState, Promise]:
-    """Promise a ballot that no earlier one is above."""
+    """Promise a ballot unless a higher one was promised."""
     granted = rank_ballot(message.ballot) >= rank_ballot(state.promised)
     if granted:
-        state = _replace(state, promised=message.ballot)
+        state = _update_state(state, promised=message.ballot)
     reply = Promise(
         register=message.register,
         ballot=message.ballot,
@@ -52,7 +52,7 @@
     """Accept a value unless a higher ballot was promised."""
     granted = rank_ballot(message.ballot) >= rank_ballot(state.promised)
     if granted:
-        state = _replace(
+        state = _update_state(
             state, promised=message.ballot, accepted=message.ballot, value=message.value
         )
     reply = Accepted(
@@ -64,7 +64,7 @@
     return state, reply
 
 
-def _replace(
+def _update_state(
     state: RegisterState,
     promised: Ballot,
     accepted: Ballot | None = None,
@@ -88,19 +88,19 @@
 
 @dataclass(frozen=True)
 class Decided:
-    """Report the register's value, which no later ballot can change."""
+    """Report the decided value, which no later ballot can change."""
 
     value: bytes
 
 
 @dataclass(frozen=True)
 class NoValue:
-    """Report that a majority held no value when it was read."""
+    """Report that a majority had accepted no value when read."""
 
 
 @dataclass(frozen=True)
 class Preempted:
-    """Report that another proposer was seen; try again above its round."""
+    """Report a higher ballot of another proposer; retry above its round."""
 
     round: int
 
@@ -115,9 +115,9 @@
     Parameters
     ----------
     value
-        What to propose where the register is free; None only reads.
+        The value to propose if none was accepted; None only reads.
     voters
-        The keepers whose majority decides.
+        The voting keepers.
     """
 
     register: RegisterName
@@ -127,21 +127,21 @@
     voters: frozenset[ProcessId]
     _promises: dict[ProcessId, Promise] = field(default_factory=dict)
     _accepted: set[ProcessId] = field(default_factory=set)
-    _accepting: bytes | None = None
+    _proposed: bytes | None = None
 
     @property
     def quorum(self) -> int:
-        """Return how many keepers are a majority."""
+        """Return the number of keepers in a majority."""
         return len(self.voters) // 2 + 1
 
     def start(self) -> Step:
-        """Begin the ballot: round 0 goes straight to the accept."""
+        """Start the ballot; round 0 skips the prepare phase."""
         if self.ballot.round == INITIAL_ROUND and self.value is not None:
             return self._propose(self.value)
         return Broadcast(Prepare(self.register, self.ballot, self.epoch))
 
     def receive(self, keeper: ProcessId, reply: Promise | Accepted) -> Step | None:
-        """Take a keeper's reply and return the next step, if there is one."""
+        """Handle a keeper's reply and return the next step, if any."""
         if keeper not in self.voters or reply.ballot != self.ballot:
             return None
         if not reply.granted:
@@ -154,7 +154,7 @@
                 return self._receive_accepted(keeper)
 
     def _receive_promise(self, keeper: ProcessId, reply: Promise) -> Step | None:
-        if self._accepting is not None:
+        if self._proposed is not None:
             return None
         self._promises[keeper] = reply
         if len(self._promises) < self.quorum:
@@ -167,13 +167,13 @@
         return self._propose(self.value)
 
     def _receive_accepted(self, keeper: ProcessId) -> Step | None:
-        if self._accepting is None:
+        if self._proposed is None:
             return None
         self._accepted.add(keeper)
         if len(self._accepted) < self.quorum:
             return None
-        return Decided(self._accepting)
+        return Decided(self._proposed)
 
     def _propose(self, value: bytes) -> Step:
-        self._accepting = value
+        self._proposed = value
         return Broadcast(Accept(self.register, self.ballot, self.epoch, value))
--- a/troutstand/testing/models/register.py
+++ b/troutstand/testing/models/register.py
@@ -140,7 +140,7 @@
         started=True,
         promises=frozenset(proposer._promises.items()),
         accepted=frozenset(proposer._accepted),
-        accepting=proposer._accepting,
+        accepting=proposer._proposed,
     )
 
 
--- a/troutstand/tests/steps/sites.py
+++ b/troutstand/tests/steps/sites.py
@@ -232,7 +232,7 @@
         try:
             site.operator().replace_keeper(other, process)
         except (OSError, RefusedCall) as refusal:
-            return "is no replacement" in str(refusal)
+            return "cannot replace a member" in str(refusal)
         return True
 
     wait_for(try_replace, "replacement")
