--- a/benchmarks/dispatching.py
+++ b/benchmarks/dispatching.py
@@ -61,7 +61,7 @@
             ListedTarget(name, _SERVICE, f"{name}:1", f"d{n % _DOMAINS}", _SLOTS, ListedState.ready)
             for n, name in enumerate(self._speeds)
         ]
-        self._dispatcher.use_targets(listed, 0.0)
+        self._dispatcher.update_targets(listed, 0.0)
 
     def _push(self, at_s: float, kind: str, name: str) -> None:
         self._count += 1
--- a/troutstand/core/admissionqueue.py
+++ b/troutstand/core/admissionqueue.py
@@ -70,7 +70,7 @@
         work = waiting.work
         pool.shares.refund(work.tier, work.workspace, waiting.share)
         if work.attempt == 1:
-            self.quotas.give_back(work.workspace, work.charge, waiting.arrived_s, now_s)
+            self.quotas.refund(work.workspace, work.charge, waiting.arrived_s, now_s)
 
     def _refuse_waiting_quarantined(self, now_s: float) -> None:
         """Refuse the waiting requests whose fingerprint is now quarantined."""
@@ -90,10 +90,10 @@
     def _check_arrival(self, pool: Pool, waiting: WaitingRequest, now_s: float) -> None:
         if not pool.list_usable():
             return
-        pool.judge_time(waiting)
+        pool.estimate_slack(waiting)
         if self._refuse_during_backoff(pool, waiting, now_s):
             return
-        slot_interval_s = pool.measure_turn(now_s)
+        slot_interval_s = pool.estimate_slot_interval(now_s)
         wait_s = (pool.waiting.count_shed_after(waiting) + 1) * slot_interval_s
         if wait_s <= waiting.slack_s:
             return
@@ -139,7 +139,7 @@
         if not self._options.protects_tiers:
             return False
         wait_s = pool.estimate_late_wait(waiting, ahead, slot_interval_s)
-        if pool.has_lower(waiting):
+        if pool.has_lower_tier(waiting):
             wait_s = min(wait_s, (ahead + 1) * slot_interval_s)
         if (
             now_s + _LATE_WAIT_SAFETY_FACTOR * wait_s + waiting.min_first_byte_s
@@ -157,7 +157,7 @@
 
     def _refuse_during_backoff(self, pool: Pool, waiting: WaitingRequest, now_s: float) -> bool:
         """Refuse a request if all targets stay in backoff for its gateway beyond its objective."""
-        backoff_s = pool.measure_rest(waiting.owner, now_s)
+        backoff_s = pool.measure_backoff(waiting.owner, now_s)
         if backoff_s <= 0.0 or waiting.can_meet_objective(now_s + backoff_s):
             return False
         self._refuse(pool, waiting, ResultCode.TARGETS_RESTING, backoff_s, now_s)
@@ -167,7 +167,7 @@
         """Shed waiting requests that can no longer be served in time, in shedding order."""
         has_targets = bool(pool.list_usable())
         ordered = pool.waiting.list_shed_order()
-        slot_interval_s = pool.measure_turn(now_s)
+        slot_interval_s = pool.estimate_slot_interval(now_s)
         for ahead, waiting in reversed(list(enumerate(ordered))):
             waited_here_s = now_s - waiting.arrived_s
             # Requests that arrived late, for example after a scheduler takeover, get the full
@@ -208,7 +208,7 @@
         self, pool: Pool, waiting: WaitingRequest, code: ResultCode, wait_s: float, now_s: float
     ) -> None:
         self._dequeue(pool, waiting.work.request, now_s)
-        if code is ResultCode.SHED_OVERLOAD and pool.is_limited(now_s):
+        if code is ResultCode.SHED_OVERLOAD and pool.is_rate_limited(now_s):
             code = ResultCode.TARGETS_LIMITED
         waited_s = now_s - waiting.arrived_s
         reason = f"waited_s={waited_s:.3f} expected_s={wait_s:.3f} queue={len(pool.waiting)}"
--- a/troutstand/core/choice.py
+++ b/troutstand/core/choice.py
@@ -26,7 +26,7 @@
 _SETTLED_S = 5.0
 
 
-def find_way(work: RoutedWork, state: TargetState) -> Link:
+def find_link(work: RoutedWork, state: TargetState) -> Link:
     """Return the way that a request goes to a target."""
     return Link(work.failure_domain, state.listed.failure_domain)
 
@@ -90,7 +90,7 @@
         if not canaries or work.attempt > 1:
             return None
         if not pool.canary.is_due(work.route) and not pool.canary.is_due_at_deadline(
-            pool.estimate_stay(work), now_s
+            pool.estimate_typical_slot_time(work), now_s
         ):
             return None
         fitting = [
@@ -109,7 +109,7 @@
         tried = work.excluded
         if tried and any(t.listed.target not in tried for t in pool.list_usable()):
             fitting = [t for t in fitting if t.listed.target not in tried]
-        if now_s < pool.doubts_until_s:
+        if now_s < pool.suspects_until_s:
             fitting = self._prefer_trusted(pool, waiting, fitting, now_s)
         sound = [t for t in fitting if not t.is_ejected(now_s)]
         has_probes = len(sound) < len(fitting)
@@ -158,7 +158,7 @@
         )
 
     def _is_reached(self, work: RoutedWork, state: TargetState, now_s: float) -> bool:
-        return self._reach.is_open(find_way(work, state), now_s)
+        return self._reach.is_open(find_link(work, state), now_s)
 
     def _has_sound(self, pool: Pool, work: RoutedWork, now_s: float) -> bool:
         """Tell whether a target without failures is left to try, be it busy or not."""
--- a/troutstand/core/decision.py
+++ b/troutstand/core/decision.py
@@ -32,9 +32,9 @@
         Seconds that the target's first byte should take.
     running
         Requests that the target had already.
-    uncached
+    uncached_tokens
         Prompt tokens that the target does not hold.
-    last_sign_s
+    last_response_age_s
         Age of the target's last answer, in seconds.
     open_targets
         Targets that could have been given the request.
@@ -50,8 +50,8 @@
 
     expected_first_s: float
     running: int
-    uncached: float
-    last_sign_s: float
+    uncached_tokens: float
+    last_response_age_s: float
     open_targets: int
     workspace: str
     charge: float
--- a/troutstand/core/dispatch.py
+++ b/troutstand/core/dispatch.py
@@ -9,12 +9,12 @@
 from typing import TYPE_CHECKING
 
 from troutstand.core.admissionqueue import AdmissionQueue
-from troutstand.core.choice import TargetChoice, find_way
+from troutstand.core.choice import TargetChoice, find_link
 from troutstand.core.codes import ResultCode
 from troutstand.core.crashtracker import MAX_ISOLATED, CrashTracker, Suspicion
 from troutstand.core.decision import Decision, PlacedInputs
 from troutstand.core.pool import Pool
-from troutstand.core.quota import Judgement, Verdict
+from troutstand.core.quota import QuotaDecision, Verdict
 from troutstand.core.reachability import Reachability
 from troutstand.core.rollouts.admission import Admission
 from troutstand.core.scheduling.options import LoadOptions
@@ -82,19 +82,19 @@
     def update_table(self, table: RouteTable, now_s: float) -> None:
         """Apply a newer configuration."""
         workspaces = table.configuration.workspaces
-        self.quotas.use_workspaces(workspaces, now_s)
+        self.quotas.update_workspaces(workspaces, now_s)
         self.update_weights({w.name: w.weight for w in workspaces})
-        self.use_services(table)
+        self.update_services(table)
 
     def update_weights(self, weights: dict[str, float]) -> None:
         """Set the weights of workspaces for fair sharing."""
         self._weights = weights
 
-    def use_targets(
+    def update_targets(
         self, listed: Iterable[ListedTarget], now_s: float, is_from_peer: bool = False
     ) -> None:
         """Apply a newer list of targets and place waiting requests on it."""
-        super().use_targets(listed, now_s, is_from_peer)
+        super().update_targets(listed, now_s, is_from_peer)
         for pool in self.pools.values():
             self._serve_queue(pool, now_s)
 
@@ -122,18 +122,18 @@
                 self._decline(work, owner, ResultCode.RETRY_BUDGET, 1.0, "retry budget exhausted")
                 return
         else:
-            self.retries.note_request(work.service, now_s)
+            self.retries.record_request(work.service, now_s)
             judgement = self.quotas.take(work.workspace, work.charge, now_s)
-            if judgement.verdict is Verdict.SPARE and not pool.has_spare(now_s):
-                self.quotas.give_back(work.workspace, work.charge, now_s, now_s)
-                judgement = Judgement(Verdict.REFUSED, judgement.wait_s)
+            if judgement.verdict is Verdict.EXCESS and not pool.has_spare_capacity(now_s):
+                self.quotas.refund(work.workspace, work.charge, now_s, now_s)
+                judgement = QuotaDecision(Verdict.REFUSED, judgement.wait_s)
             if judgement.verdict is Verdict.REFUSED:
-                taken = self.quotas.read_taken(work.workspace)
+                taken = self.quotas.get_usage_share(work.workspace)
                 reason = f"workspace={work.workspace} charge={work.charge:g} taken={taken:.2f}"
                 self._decline(work, owner, ResultCode.WORKSPACE_LIMIT, judgement.wait_s, reason)
                 return
         if self._options.protects_tiers:
-            pool.note_arrival(work, now_s)
+            pool.record_arrival(work, now_s)
         share = self._charge_share(pool, work)
         waiting = WaitingRequest(work, owner, now_s, now_s + work.remaining_s, share=share)
         pool.waiting.add(waiting)
@@ -146,7 +146,9 @@
         if not self._options.shares_fairly:
             return UNSHARED
         weight = self._weights.get(work.workspace, DEFAULT_WEIGHT)
-        return pool.shares.charge(work.tier, work.workspace, pool.estimate_stay(work), weight)
+        return pool.shares.charge(
+            work.tier, work.workspace, pool.estimate_typical_slot_time(work), weight
+        )
 
     def _must_refuse_suspect(self, pool: Pool, work: RoutedWork, now_s: float) -> bool:
         """Tell whether a request must be refused because requests like it crashed targets.
@@ -158,7 +160,7 @@
             case Suspicion.QUARANTINED:
                 return True
             case Suspicion.ISOLATED:
-                return pool.count_alike(work) >= MAX_ISOLATED
+                return pool.count_same_fingerprint(work) >= MAX_ISOLATED
             case _:
                 return False
 
@@ -177,10 +179,10 @@
             run = state.running.get(first.request) if state else None
             if state is not None and run is not None and not run.has_first_byte:
                 state.record_first_byte(run, now_s)
-                self.reach.record_reachable(find_way(run.work, state))
+                self.reach.record_reachable(find_link(run.work, state))
                 if run.work.prompt_tokens and first.first_s >= 0.0:
-                    state.record_prefill(run, first.first_s, pool.know_reading(state))
-                    pool.forget_typical()
+                    state.record_prefill(run, first.first_s, pool.get_prefill_speed(state))
+                    pool.invalidate_typical()
                 state.add_cached_parts(run.work.model, run.work.parts)
                 # Its prefill backlog has shrunk, so it may suit waiting requests now.
                 self._serve_target(pool, state, now_s)
@@ -207,7 +209,7 @@
         """Process timeouts and place or shed waiting requests."""
         for pool in self.pools.values():
             if self._options.protects_tiers:
-                pool.update_tiers(now_s)
+                pool.update_tier_demand(now_s)
             pool.shares.prune_idle(now_s)
             for state in pool.targets.values():
                 if now_s >= state.blocked_until_s or state.is_probing():
@@ -220,14 +222,14 @@
         run = state.find_overdue(now_s)
         if run is not None:
             state.record_loss(run, now_s)
-            self.reach.record_unreachable(find_way(run.work, state), state.listed.target, now_s)
+            self.reach.record_unreachable(find_link(run.work, state), state.listed.target, now_s)
 
     def _record_ending(
         self, pool: Pool, state: TargetState, run: RunningRequest, ended: Ended, now_s: float
     ) -> None:
-        self.reach.record_ending(find_way(run.work, state), ended, now_s)
+        self.reach.record_ending(find_link(run.work, state), ended, now_s)
         if pool.canary.order is not None:
-            typical = pool.estimate_typical(run)
+            typical = pool.estimate_typical_times(run)
             pool.canary.record_ended(run, ended, state.listed.version, typical, now_s)
         if ended.ending in (Ending.whole, Ending.failed):
             self.crashes.record_answer(run.work.fingerprint)
@@ -238,13 +240,13 @@
                 if ended.total_s < 0.0:
                     # The time is unknown because the gateway's host was suspended.
                     return
-                pool.learn_hold(ended.total_s)
+                pool.update_hold_time(ended.total_s)
                 pool.headroom.record_slot_time(run.work.tier, ended.total_s, now_s)
                 pool.shares.settle(run.work.tier, run.work.workspace, run.share, ended.total_s)
-                pool.forget_typical()
+                pool.invalidate_typical()
                 if run.work.prompt_tokens and ended.produced_events > 1:
                     decode_s = ended.total_s - max(0.0, ended.first_s)
-                    state.token_s.add_sample(decode_s / (ended.produced_events * pool.stride))
+                    state.token_s.add_sample(decode_s / (ended.produced_events * pool.tokens_per_event))
                 elif not run.work.prompt_tokens:
                     state.service_s.add_sample(ended.total_s)
             case Ending.failed:
@@ -253,8 +255,8 @@
                 state.record_loss(run, now_s)
             case Ending.turned_away:
                 state.record_rejection(now_s)
-                pool.doubts_until_s = max(
-                    pool.doubts_until_s, now_s + state.report.backoff.suspect(now_s)
+                pool.suspects_until_s = max(
+                    pool.suspects_until_s, now_s + state.report.backoff.suspect(now_s)
                 )
             case Ending.left | Ending.kept_back:
                 pass
@@ -292,8 +294,8 @@
 
     def _serve_section(self, pool: Pool, now_s: float) -> None:
         """Place requests of the next section of the queue; bounds the cost of a tick."""
-        first = pool.next_looked if pool.next_looked < len(pool.waiting) else 0
-        pool.next_looked = first + _MAX_SCANNED_PER_TICK
+        first = pool.next_scan_index if pool.next_scan_index < len(pool.waiting) else 0
+        pool.next_scan_index = first + _MAX_SCANNED_PER_TICK
         section = pool.waiting.list_placement_order(first, _MAX_SCANNED_PER_TICK)
         if section:
             self._serve(pool, section, now_s, len(section) + 1)
@@ -316,10 +318,10 @@
         max_skipped: int,
     ) -> None:
         """Place waiting requests on the given targets, in order."""
-        busy = pool.describe_busy(now_s)
+        busy = pool.summarize_busy(now_s)
         skipped = 0
         for waiting in ordered:
-            if self._options.protects_tiers and pool.is_kept_for_higher(waiting.work.tier, now_s):
+            if self._options.protects_tiers and pool.is_reserved_for_higher_tiers(waiting.work.tier, now_s):
                 # No later request has a higher tier.
                 return
             suspicion = self.crashes.get_suspicion(waiting.work.fingerprint, now_s)
@@ -337,7 +339,7 @@
                 canaries.remove(canary)
                 continue
             state = self._choice.choose(pool, waiting, suitable, now_s)
-            if state is None or pool.should_wait(state, waiting, busy, now_s):
+            if state is None or pool.should_wait_for_busy(state, waiting, busy, now_s):
                 skipped += 1
                 if skipped >= max_skipped:
                     return
@@ -359,19 +361,19 @@
         work = waiting.work
         pool.waiting.pop(work.request)
         pool.shares.advance_virtual_time(work.tier, waiting.share)
-        expected_s = pool.estimate_first(state, work)
+        expected_s = pool.estimate_first_byte(state, work)
         uncached = state.count_uncached(work)
         ahead = state.backlog_tokens
         inputs = PlacedInputs(
             expected_first_s=expected_s,
             running=len(state.running),
-            uncached=uncached,
-            last_sign_s=now_s - state.last_response_s,
+            uncached_tokens=uncached,
+            last_response_age_s=now_s - state.last_response_s,
             open_targets=open_targets,
             workspace=work.workspace,
             charge=work.charge,
             fingerprint=work.fingerprint,
-            token_s=pool.know_token(state),
+            token_s=pool.get_token_time(state),
             limit_per_s=state.report.limit_per_s,
         )
         run = RunningRequest(
@@ -380,7 +382,7 @@
         state.start(run)
         state.report.record_sent(now_s)
         state.record_connection(waiting.owner, now_s)
-        self.reach.record_sent(find_way(work, state), now_s)
+        self.reach.record_sent(find_link(work, state), now_s)
         if work.attempt == 1:
             is_sampled = pool.canary.is_canary(state.listed.version)
             pool.canary.record_placed(work.route, state.listed.target, is_sampled)
--- a/troutstand/core/domainview.py
+++ b/troutstand/core/domainview.py
@@ -36,7 +36,7 @@
         """Take the targets that the platform's list calls leaving."""
         self._leaving = names
         for name, target in self.targets.items():
-            target.follow_list(name in names)
+            target.update_listed_leaving(name in names)
 
     def _update_workspaces(self, rows: dict[str, Workspace]) -> None:
         for name, row in rows.items():
@@ -52,7 +52,7 @@
             if known is None:
                 self.targets[name] = TargetEstimate(row, name in self._leaving)
             else:
-                known.use_row(row)
+                known.update_row(row)
         for name in set(self.targets) - set(own):
             for run in self.targets.pop(name).running.values():
                 self._note_run(run, -1)
@@ -72,7 +72,7 @@
 
     def _measure_rest(self, ask: PlacementAsk, now_s: float) -> float:
         """Return the seconds until any usable target may be sent to; 0 where one may now."""
-        ends = (target.rests_until_s for target in self._list_usable(ask))
+        ends = (target.backoff_until_s for target in self._list_usable(ask))
         return max(0.0, min(ends, default=0.0) - now_s)
 
     def _is_limited(self, ask: PlacementAsk) -> bool:
@@ -89,4 +89,4 @@
         use = self._workspaces.get(run.ask.workspace)
         if use:
             use.running += change
-        self._load.note(run, change)
+        self._load.update(run, change)
--- a/troutstand/core/estimate.py
+++ b/troutstand/core/estimate.py
@@ -79,7 +79,7 @@
         is_told = self.listed_leaving or self.report.is_leaving
         return is_told or self.row.state is TargetState.leaving
 
-    def describe_run(
+    def create_run(
         self,
         ask: PlacementAsk,
         process: str,
@@ -157,11 +157,11 @@
         return run
 
     @property
-    def rests_until_s(self) -> float:
+    def backoff_until_s(self) -> float:
         """Return until when the target wants nothing, in seconds."""
         return self.report.backoff.get_end_s(_ANY_PROCESS)
 
-    def take_notice(self, notice: TargetNotice, now_s: float) -> bool:
+    def apply_notice(self, notice: TargetNotice, now_s: float) -> bool:
         """Take what the target said of itself; tell whether it is news.
 
         It told one entry process. The others leave it alone as well where it wants rest: the
@@ -173,18 +173,18 @@
             self._said_leaving_s = now_s
         return self.report.apply_notice(_ANY_PROCESS, notice, now_s)
 
-    def recheck_leaving(self, now_s: float) -> None:
+    def expire_leaving(self, now_s: float) -> None:
         """Take a target back that said long ago that it leaves, and is still there."""
         if self.report.is_leaving and now_s - self._said_leaving_s > _LEAVING_S:
             self.report.is_leaving = False
 
-    def follow_list(self, is_leaving: bool) -> None:
+    def update_listed_leaving(self, is_leaving: bool) -> None:
         """Take what the platform's list shows; one that is shown as leaving no more is back."""
         if self.listed_leaving and not is_leaving:
             self.report.is_leaving = False
         self.listed_leaving = is_leaving
 
-    def use_row(self, row: Target) -> None:
+    def update_row(self, row: Target) -> None:
         """Take a newer row; another address is another process, which said nothing yet."""
         if row.url != self.row.url:
             self.report = SelfReport()
--- a/troutstand/core/load.py
+++ b/troutstand/core/load.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(frozen=True)
-class PoolKey:
+class QueueKey:
     """Name one queue: a tier's rank and what is asked for."""
 
     rank: int
@@ -36,16 +36,16 @@
 class RunningLoad:
     """Follow the granted requests without a look at each."""
 
-    _loads: dict[PoolKey, _PoolLoad] = field(default_factory=dict)
+    _loads: dict[QueueKey, _PoolLoad] = field(default_factory=dict)
 
-    def note(self, run: Running, change: int) -> None:
+    def update(self, run: Running, change: int) -> None:
         """Count a request in (1) or out (-1) for every pool of its target."""
         for serves in run.pools:
-            load = self._loads.setdefault(PoolKey(run.rank, serves), _PoolLoad())
+            load = self._loads.setdefault(QueueKey(run.rank, serves), _PoolLoad())
             load.count += change
             load.ends_s += change * (run.granted_s + run.expected_s)
 
-    def estimate_left_s(self, serves: str, rank: int, now_s: float) -> float:
+    def estimate_remaining_s(self, serves: str, rank: int, now_s: float) -> float:
         """Return the run time left of the same and higher tiers, all together."""
         return sum(
             max(0.0, load.ends_s - load.count * now_s)
--- a/troutstand/core/pool.py
+++ b/troutstand/core/pool.py
@@ -76,7 +76,7 @@
     hold_s: float | None = None
     canary: Canary = field(default_factory=Canary)
     # Tokens that one event of a stream carries.
-    stride: int = 1
+    tokens_per_event: int = 1
     # What a target's memory holds, in tokens of prompts and answers; 0 is no limit.
     memory_tokens: int = 0
     # What targets of which nothing was learnt are taken to be like. Without keeping the
@@ -87,16 +87,16 @@
     # Which targets take new work: several steps of each decision ask for them.
     _usable: list[TargetState] | None = None
     # The place in the queue from which the next tick looks.
-    next_looked: int = 0
+    next_scan_index: int = 0
     # Until when a target may be doubted, in seconds: mostly none is, and none is looked at.
-    doubts_until_s: float = float("-inf")
+    suspects_until_s: float = float("-inf")
     _typical: dict[str, float | None] = field(default_factory=dict)
     headroom: Headroom = field(default_factory=Headroom)
     shares: ServiceShares = field(default_factory=ServiceShares)
     # The lowest tier, by the order of refusals, of what runs and waits; None is nothing.
-    lowest_tier: int | None = None
+    lowest_shed_tier: int | None = None
 
-    def learn_hold(self, sample_s: float) -> None:
+    def update_hold_time(self, sample_s: float) -> None:
         """Learn how long a request keeps its slot."""
         held = self.hold_s
         self.hold_s = sample_s if held is None else held + _HOLD_EWMA * (sample_s - held)
@@ -144,34 +144,34 @@
     def _list_sound(self, now_s: float) -> list[TargetState]:
         """Return the targets that are expected to answer what they are sent."""
         sound = [t for t in self.list_usable() if not t.consecutive_losses]
-        if now_s >= self.doubts_until_s:
+        if now_s >= self.suspects_until_s:
             return sound
         return [t for t in sound if not t.report.backoff.is_requested(now_s)]
 
-    def measure_rest(self, gateway: str, now_s: float) -> float:
+    def measure_backoff(self, gateway: str, now_s: float) -> float:
         """Return the seconds until a gateway may send to any target; 0 where it may now."""
-        if now_s >= self.doubts_until_s:
+        if now_s >= self.suspects_until_s:
             return 0.0
         ends_s = min(
             (t.report.backoff.get_end_s(gateway) for t in self.list_usable()), default=now_s
         )
         return max(0.0, ends_s - now_s)
 
-    def measure_turn(self, now_s: float) -> float:
+    def estimate_slot_interval(self, now_s: float) -> float:
         """Return the seconds between two places that become free.
 
         A target that names a limit gives no more places than that. Counted by its slots alone
         it made callers wait for places that did not come.
         """
         sound = self._list_sound(now_s)
-        if self.hold_s is None and not self.is_limited(now_s):
+        if self.hold_s is None and not self.is_rate_limited(now_s):
             # A guess must not refuse anybody; the first ending tells.
             return 0.0
         hold_s = max(self.hold_s or _MIN_HOLD_S, _MIN_HOLD_S)
         rate_per_s = sum(min(t.listed.slots / hold_s, t.report.rate_per_s) for t in sound)
         return 1.0 / rate_per_s if rate_per_s else hold_s
 
-    def is_limited(self, now_s: float) -> bool:
+    def is_rate_limited(self, now_s: float) -> bool:
         """Tell whether all targets that are expected to answer name a limit."""
         sound = self._list_sound(now_s)
         return bool(sound) and all(t.report.rate_limiter is not None for t in sound)
@@ -188,19 +188,19 @@
         left_per_s = per_s - self.headroom.estimate_rate(waiting.work.tier)
         return (ahead + 1) / max(left_per_s, _LATE_SHARE * per_s)
 
-    def estimate_first(self, state: TargetState, work: RoutedWork) -> float:
+    def estimate_first_byte(self, state: TargetState, work: RoutedWork) -> float:
         """Return the seconds until a target's first byte for a request."""
         if not work.prompt_tokens:
             return self._know(state, "service_s", _GUESS_SERVICE_S)
-        return self.know_reading(state).estimate(state.count_uncached(work) + state.backlog_tokens)
+        return self.get_prefill_speed(state).estimate(state.count_uncached(work) + state.backlog_tokens)
 
-    def know_token(self, state: TargetState) -> float:
+    def get_token_time(self, state: TargetState) -> float:
         """Return the seconds that a target takes for a token of an answer."""
         return self._know(state, "token_s", _GUESS_TOKEN_S)
 
     def estimate_cost(self, state: TargetState, waiting: WaitingRequest, now_s: float) -> float:
         """Return what giving a request to a target costs, in seconds; the least is best."""
-        outcome = self.expect(state, waiting, now_s)
+        outcome = self.predict_outcome(state, waiting, now_s)
         far = state.listed.failure_domain != waiting.work.failure_domain
         far_s = _FAR_S if far else 0.0
         connect_s = 0.0 if state.has_connection(waiting.owner, now_s) else _CONNECT_S
@@ -209,7 +209,7 @@
         risk_s = _RISK_S * (outcome.first_byte_risk + outcome.stream_risk + outcome.others_risk)
         return outcome.first_s + far_s + connect_s + held_s + fault_s + risk_s
 
-    def expect(
+    def predict_outcome(
         self, state: TargetState, waiting: WaitingRequest, now_s: float
     ) -> PlacementEstimate:
         """Estimate what comes of giving a request to a target."""
@@ -219,16 +219,16 @@
             busy = len(state.running) / max(1, state.listed.slots)
             first_risk = estimate_miss_risk(first_s, waiting.due_s - now_s)
             return PlacementEstimate(first_s, first_s * busy, first_risk)
-        reading = self.know_reading(state)
+        reading = self.get_prefill_speed(state)
         to_read = state.count_uncached(work) + state.backlog_tokens
         first_s = reading.estimate(to_read)
-        token_s = self.know_token(state)
+        token_s = self.get_token_time(state)
         held_s = token_s * max(1, work.output_tokens)
-        event_s = token_s * self.stride
+        event_s = token_s * self.tokens_per_event
         rest_risk = estimate_miss_risk(first_s + held_s, waiting.deadline_s - now_s)
         rest_risk += estimate_miss_risk(event_s, work.pause_s)
         # While prompts are read, the tokens of the others come slower.
-        between_events = min(to_read, float(self.stride * _READ_AT_ONCE_TOKENS))
+        between_events = min(to_read, float(self.tokens_per_event * _READ_AT_ONCE_TOKENS))
         pause_s = event_s + reading.per_token_s * between_events
         others = sum(
             count * estimate_miss_risk(pause_s, limit_s)
@@ -237,7 +237,7 @@
         first_risk = estimate_miss_risk(first_s, waiting.due_s - now_s)
         return PlacementEstimate(first_s, held_s, first_risk, min(1.0, rest_risk), others)
 
-    def know_reading(self, state: TargetState) -> PrefillSpeed:
+    def get_prefill_speed(self, state: TargetState) -> PrefillSpeed:
         """Return how fast a target reads prompts, or what its like show, or a guess."""
         if state.prefill is not None:
             return state.prefill.speed
@@ -258,14 +258,14 @@
         """Return the targets that show what is typical: not those of a version on trial."""
         return [t for t in self.targets.values() if not self.canary.is_canary(t.listed.version)]
 
-    def estimate_stay(self, work: RoutedWork) -> float:
+    def estimate_typical_slot_time(self, work: RoutedWork) -> float:
         """Return how long a request stays at a typical target, in seconds."""
         first_s = self._estimate_typical_first(work)
         if not work.prompt_tokens:
             return first_s
         return first_s + work.output_tokens * self._know_typical("token_s", _GUESS_TOKEN_S)
 
-    def estimate_typical(self, run: RunningRequest) -> TypicalTimes:
+    def estimate_typical_times(self, run: RunningRequest) -> TypicalTimes:
         """Return what a typical target of the version in force needs for a request."""
         if not run.work.prompt_tokens:
             return TypicalTimes(self._know_typical("service_s", _GUESS_SERVICE_S))
@@ -273,9 +273,11 @@
             self._typical_reading = self._find_typical_reading()
         to_read = run.uncached_tokens + run.tokens_ahead
         token_s = self._know_typical("token_s", _GUESS_TOKEN_S)
-        return TypicalTimes(self._typical_reading.estimate(to_read), token_s * self.stride)
+        return TypicalTimes(
+            self._typical_reading.estimate(to_read), token_s * self.tokens_per_event
+        )
 
-    def forget_typical(self) -> None:
+    def invalidate_typical(self) -> None:
         """Note that something was learnt of a target, so that the medians are old."""
         self._typical_reading = None
         self._typical.clear()
@@ -292,7 +294,7 @@
         typical = self._typical[name]
         return typical if typical is not None else guess
 
-    def describe_busy(self, now_s: float) -> BusyTargets:
+    def summarize_busy(self, now_s: float) -> BusyTargets:
         """Describe the targets that have no free slot, as whoever waits for one sees them."""
         # The place of a target that names a limit does not come with the end of a request.
         busy = [
@@ -304,7 +306,7 @@
             count=len(busy),
             slot_interval_s=hold_s / slots if slots else float("inf"),
             prefill_speed=min(
-                (self.know_reading(t) for t in busy),
+                (self.get_prefill_speed(t) for t in busy),
                 key=lambda speed: speed.per_token_s,
                 default=_GUESS_READING,
             ),
@@ -313,13 +315,13 @@
             ),
         )
 
-    def should_wait(
+    def should_wait_for_busy(
         self, state: TargetState, waiting: WaitingRequest, busy: BusyTargets, now_s: float
     ) -> bool:
         """Tell whether a busy target puts fewer answers at risk than an open one."""
         if not busy.count:
             return False
-        outcome = self.expect(state, waiting, now_s)
+        outcome = self.predict_outcome(state, waiting, now_s)
         if waiting.is_late:
             # Its own answer is late anywhere; it must not make others late too.
             return outcome.others_risk > _LATE_HARM
@@ -329,7 +331,7 @@
         risk_there = estimate_miss_risk(busy.slot_interval_s + alone_s, waiting.due_s - now_s)
         return risk_there + _WORTH_WAITING < outcome.first_byte_risk + outcome.others_risk
 
-    def judge_time(self, waiting: WaitingRequest) -> None:
+    def estimate_slack(self, waiting: WaitingRequest) -> None:
         """Estimate how long a request may wait and still be in time."""
         work = waiting.work
         sound = self._list_sound(waiting.arrived_s)
@@ -344,17 +346,17 @@
         if not work.prompt_tokens:
             service_s = self._know(state, "service_s", _GUESS_SERVICE_S)
             return service_s, service_s
-        reading = self.know_reading(state)
+        reading = self.get_prefill_speed(state)
         uncached = state.count_uncached(work)
         return reading.estimate(uncached + state.backlog_tokens), reading.estimate(uncached)
 
-    def count_alike(self, work: RoutedWork) -> int:
+    def count_same_fingerprint(self, work: RoutedWork) -> int:
         """Return how many requests with the same fingerprint run or wait."""
         waiting = [w.work for w in self.waiting.list_all()]
         running = [run.work for t in self.targets.values() for run in t.running.values()]
         return sum(1 for other in [*waiting, *running] if other.fingerprint == work.fingerprint)
 
-    def note_arrival(self, work: RoutedWork, now_s: float) -> None:
+    def record_arrival(self, work: RoutedWork, now_s: float) -> None:
         """Count a request among those that its tier asks for."""
         patience_s = _IN_TIME_SHARE * work.objective_s - self._estimate_typical_first(work)
         self.headroom.record_arrival(work.tier, max(0.0, patience_s), now_s)
@@ -367,22 +369,24 @@
             self._typical_reading = self._find_typical_reading()
         return self._typical_reading.estimate(work.prompt_tokens)
 
-    def update_tiers(self, now_s: float) -> None:
+    def update_tier_demand(self, now_s: float) -> None:
         """Sum up what the tiers ask for, and find the lowest that is served."""
         self.headroom.update(now_s)
         running = (run.work for t in self.targets.values() for run in t.running.values())
         waiting = (waiting.work for waiting in self.waiting.list_all())
-        self.lowest_tier = max((get_shed_tier(w) for w in (*running, *waiting)), default=None)
+        self.lowest_shed_tier = max((get_shed_tier(w) for w in (*running, *waiting)), default=None)
 
-    def has_lower(self, waiting: WaitingRequest) -> bool:
+    def has_lower_tier(self, waiting: WaitingRequest) -> bool:
         """Tell whether requests that are refused before one run or wait."""
-        return self.lowest_tier is not None and self.lowest_tier > get_shed_tier(waiting.work)
+        return self.lowest_shed_tier is not None and self.lowest_shed_tier > get_shed_tier(
+            waiting.work
+        )
 
-    def count_kept(self, now_s: float, tier: int | None = None) -> int:
+    def count_reserved_slots(self, now_s: float, tier: int | None = None) -> int:
         """Return how many free slots a tier must leave to those above; by default the lowest."""
         if tier is None:
             tier = self.headroom.lowest_tier
-        wanted = self.headroom.estimate_needed_slots(tier, self.measure_turn(now_s))
+        wanted = self.headroom.estimate_needed_slots(tier, self.estimate_slot_interval(now_s))
         if wanted <= 0.0:
             return 0
         usable = self.list_usable()
@@ -391,12 +395,12 @@
         most = int(_MOST_KEPT_SHARE * sum(t.listed.slots for t in usable))
         return max(0, min(kept, most))
 
-    def is_kept_for_higher(self, tier: int, now_s: float) -> bool:
+    def is_reserved_for_higher_tiers(self, tier: int, now_s: float) -> bool:
         """Tell whether all free slots are kept for tiers above one."""
-        kept = self.count_kept(now_s, tier)
+        kept = self.count_reserved_slots(now_s, tier)
         return kept > 0 and sum(t.free_slots for t in self.list_open(now_s)) <= kept
 
-    def has_spare(self, now_s: float) -> bool:
+    def has_spare_capacity(self, now_s: float) -> bool:
         """Tell whether room is free that nobody who is owed it waits for."""
         if self.waiting:
             return False
--- a/troutstand/core/quota.py
+++ b/troutstand/core/quota.py
@@ -46,25 +46,25 @@
     excess: float = 0.0
     extra: float = 0.0
 
-    def find_limit(self, rate_per_s: float, burst: float) -> float:
+    def compute_limit(self, rate_per_s: float, burst: float) -> float:
         """Return what a window may hold without any excess."""
         return rate_per_s * self.window_s + burst
 
-    def find_excess(self, rate_per_s: float, burst: float) -> float:
+    def compute_excess(self, rate_per_s: float, burst: float) -> float:
         """Return what a window may hold beyond the limit."""
-        return self.excess * self.find_limit(rate_per_s, burst) + self.extra
+        return self.excess * self.compute_limit(rate_per_s, burst) + self.extra
 
 
 class Verdict(Enum):
     """Say whether a request may be served."""
 
-    OWED = "owed"
-    SPARE = "spare"
+    WITHIN_LIMIT = "within_limit"
+    EXCESS = "excess"
     REFUSED = "refused"
 
 
 @dataclass(frozen=True)
-class Judgement:
+class QuotaDecision:
     """Carry a verdict, and for how long a refused request should wait, in seconds."""
 
     verdict: Verdict
@@ -77,14 +77,14 @@
 
     Parameters
     ----------
-    owed
+    limit_tokens
         Tokens of a window that the workspace is entitled to.
-    most
+    max_tokens
         Tokens of a window that may be taken at all.
     """
 
-    owed: float
-    most: float
+    limit_tokens: float
+    max_tokens: float
     window: SlidingWindow
 
 
@@ -97,7 +97,7 @@
         self._limits: dict[str, Limit] = {}
         self.share = 1.0
 
-    def use_workspaces(self, workspaces: Iterable[RoutedWorkspace], now_s: float) -> None:
+    def update_workspaces(self, workspaces: Iterable[RoutedWorkspace], now_s: float) -> None:
         """Take new limits; what was taken before still counts."""
         limited = {w.name: w for w in workspaces if w.tokens_per_s > 0}
         for name in set(self._limits) - set(limited):
@@ -106,33 +106,35 @@
             self._use_limit(name, workspace.tokens_per_s, workspace.burst_tokens)
 
     def _use_limit(self, name: str, rate_per_s: float, burst: float) -> None:
-        owed = self._bounds.find_limit(rate_per_s, burst)
-        most = owed + _TAKEN_EXCESS * self._bounds.find_excess(rate_per_s, burst)
+        owed = self._bounds.compute_limit(rate_per_s, burst)
+        most = owed + _TAKEN_EXCESS * self._bounds.compute_excess(rate_per_s, burst)
         held = self._limits.get(name)
         if held is None:
             self._limits[name] = Limit(owed, most, SlidingWindow(self._window_s))
             return
-        held.owed, held.most = owed, most
+        held.limit_tokens, held.max_tokens = owed, most
 
-    def take(self, workspace: str, amount: float, now_s: float) -> Judgement:
+    def take(self, workspace: str, amount: float, now_s: float) -> QuotaDecision:
         """Take tokens where the limit allows it."""
         limit = self._limits.get(workspace)
         if limit is None or amount <= 0:
-            return Judgement(Verdict.OWED)
+            return QuotaDecision(Verdict.WITHIN_LIMIT)
         window = limit.window
         window.advance(now_s)
         # One request may be larger than the limit: an empty window lets it pass.
-        most = limit.most * self.share
+        most = limit.max_tokens * self.share
         within = min(amount, most)
         if window.total + within > most:
-            return Judgement(Verdict.REFUSED, window.find_room(within, most, now_s))
-        owed = limit.owed * self.share
+            return QuotaDecision(Verdict.REFUSED, window.find_room(within, most, now_s))
+        owed = limit.limit_tokens * self.share
         enough = min(amount, owed)
         wait_s = window.find_room(enough, owed, now_s)
         window.note(amount, now_s)
-        return Judgement(Verdict.SPARE, wait_s) if wait_s else Judgement(Verdict.OWED)
+        return (
+            QuotaDecision(Verdict.EXCESS, wait_s) if wait_s else QuotaDecision(Verdict.WITHIN_LIMIT)
+        )
 
-    def give_back(self, workspace: str, amount: float, taken_s: float, now_s: float) -> None:
+    def refund(self, workspace: str, amount: float, taken_s: float, now_s: float) -> None:
         """Return the tokens of a request that was not run, taken at an earlier time."""
         limit = self._limits.get(workspace)
         if limit is None or amount <= 0:
@@ -142,24 +144,26 @@
 
     # Handing over
 
-    def read_taken(self, workspace: str) -> float:
+    def get_usage_share(self, workspace: str) -> float:
         """Return the share of its limit that a workspace's window held at the last call."""
         limit = self._limits.get(workspace)
         if limit is None:
             return 0.0
-        return limit.window.total / max(limit.owed * self.share, _MIN_LIMIT)
+        return limit.window.total / max(limit.limit_tokens * self.share, _MIN_LIMIT)
 
-    def list_taken(self, now_s: float) -> dict[str, list[int]]:
+    def export_usage(self, now_s: float) -> dict[str, list[int]]:
         """Return the parts of the windows that hold anything, in thousandths of the limit."""
         taken: dict[str, list[int]] = {}
         for name, limit in self._limits.items():
             limit.window.advance(now_s)
             if limit.window.total > 0:
-                most = max(limit.most * self.share, _MIN_LIMIT)
+                most = max(limit.max_tokens * self.share, _MIN_LIMIT)
                 taken[name] = limit.window.list_parts(most, now_s)
         return taken
 
-    def inherit(self, workspace: str, parts: Sequence[int], portion: float, now_s: float) -> None:
+    def import_usage(
+        self, workspace: str, parts: Sequence[int], portion: float, now_s: float
+    ) -> None:
         """Take over a portion of a limit together with what another holder took of it.
 
         Parameters
@@ -173,9 +177,9 @@
         if limit is None:
             return
         limit.window.advance(now_s)
-        limit.window.add_parts(parts, limit.most * portion, now_s)
+        limit.window.add_parts(parts, limit.max_tokens * portion, now_s)
 
-    def release(self, share: float) -> None:
+    def release_share(self, share: float) -> None:
         """Hand a share of what was taken here over to another holder.
 
         Without it what a gateway brought counts here and there, and again when it comes
--- a/troutstand/core/retries.py
+++ b/troutstand/core/retries.py
@@ -46,7 +46,7 @@
         window.drop_before(now_s - self._window_s)
         return window
 
-    def note_request(self, service: str, now_s: float) -> None:
+    def record_request(self, service: str, now_s: float) -> None:
         """Count a request's first send."""
         self._get_window(service, now_s).requests.append(now_s)
 
--- a/troutstand/core/scheduler.py
+++ b/troutstand/core/scheduler.py
@@ -14,7 +14,7 @@
 from troutstand.core.estimate import Health
 from troutstand.core.fairqueue import FairQueue, WaitingRequest
 from troutstand.core.ids import RequestId
-from troutstand.core.load import PoolKey
+from troutstand.core.load import QueueKey
 from troutstand.core.policy import Choice, Policy, PolicyName
 from troutstand.core.prefix import Prefixes
 from troutstand.core.retry import MIN_RETRY_S
@@ -130,7 +130,7 @@
             target = self.targets.get(item.target)
             if target is None or RequestId(item.ask.request) in target.running:
                 continue
-            run = target.describe_run(
+            run = target.create_run(
                 item.ask, report.process, self._find_rank(item.ask), now_s, 0, 0.0
             )
             target.start(RequestId(item.ask.request), run, _get_prefixes(item.ask))
@@ -145,7 +145,7 @@
     def _apply_notices(self, notices: Iterable[TargetNotice], now_s: float) -> list[Send]:
         for notice in notices:
             target = self.targets.get(notice.target)
-            if target is not None and target.take_notice(notice, now_s):
+            if target is not None and target.apply_notice(notice, now_s):
                 self._new_notices.append(notice)
         return self._place(now_s)
 
@@ -167,7 +167,7 @@
     def tick(self, now_s: float) -> list[Send]:
         """Place waiting requests, and shed those that can no longer start in time."""
         for target in self.targets.values():
-            target.recheck_leaving(now_s)
+            target.expire_leaving(now_s)
         sends = self._place(now_s)
         for waiting in sorted(self._waiting.values(), key=lambda item: item.rank):
             is_urgent = now_s >= waiting.latest_start_s - PREEMPT_MARGIN_S
@@ -267,7 +267,7 @@
             sends += self._place_pool(key, now_s)
         return sends
 
-    def _place_pool(self, key: PoolKey, now_s: float) -> list[Send]:
+    def _place_pool(self, key: QueueKey, now_s: float) -> list[Send]:
         queue = self._queues[key]
         pool = [target for target in self._pools.get(key.serves, []) if not target.is_leaving]
         sends: list[Send] = []
@@ -324,11 +324,11 @@
         ]
 
     def _grant(self, waiting: WaitingRequest, choice: Choice, weight: float, now_s: float) -> Send:
-        self._queues[PoolKey(waiting.rank, waiting.ask.serves)].charge(waiting, weight)
+        self._queues[QueueKey(waiting.rank, waiting.ask.serves)].charge(waiting, weight)
         self._dequeue(waiting)
         target = choice.target
         expected_s = choice.finish_s - choice.wait_s
-        run = target.describe_run(
+        run = target.create_run(
             waiting.ask,
             waiting.process,
             self._find_rank(waiting.ask),
--- a/troutstand/core/shedding.py
+++ b/troutstand/core/shedding.py
@@ -10,8 +10,8 @@
 from troutstand.core.domainview import DomainView
 from troutstand.core.fairqueue import FairQueue, WaitingRequest
 from troutstand.core.ids import RequestId
-from troutstand.core.load import PoolKey, TierCount
-from troutstand.core.retry import RetrySpread
+from troutstand.core.load import QueueKey, TierCount
+from troutstand.core.retry import RetryJitter
 from troutstand.generated.messages import Grant, Preempt, Shed
 
 if TYPE_CHECKING:
@@ -42,9 +42,9 @@
     def __init__(self, failure_domain: str, seed: int) -> None:
         super().__init__(failure_domain)
         self.inversions = 0
-        self._queues: dict[PoolKey, FairQueue] = {}
+        self._queues: dict[QueueKey, FairQueue] = {}
         self._waiting: dict[RequestId, WaitingRequest] = {}
-        self._retry = RetrySpread(seed)
+        self._retry = RetryJitter(seed)
 
     @property
     def waiting_count(self) -> int:
@@ -64,12 +64,12 @@
         return RequestId(request) in self._waiting
 
     def _enqueue(self, waiting: WaitingRequest) -> None:
-        key = PoolKey(waiting.rank, waiting.ask.serves)
+        key = QueueKey(waiting.rank, waiting.ask.serves)
         self._queues.setdefault(key, FairQueue()).push(waiting)
         self._waiting[waiting.request] = waiting
 
     def _dequeue(self, waiting: WaitingRequest) -> None:
-        self._queues[PoolKey(waiting.rank, waiting.ask.serves)].remove(waiting)
+        self._queues[QueueKey(waiting.rank, waiting.ask.serves)].remove(waiting)
         del self._waiting[waiting.request]
 
     def _estimate_wait_s(self, waiting: WaitingRequest, now_s: float) -> float:
@@ -80,7 +80,7 @@
         if sum(len(queue) for queue in ahead) <= free:
             return 0.0
         work_s = sum(queue.expected_s for queue in ahead)
-        work_s += self._load.estimate_left_s(waiting.ask.serves, waiting.rank, now_s)
+        work_s += self._load.estimate_remaining_s(waiting.ask.serves, waiting.rank, now_s)
         wait_s = work_s / max(1, _count_unlimited_slots(pool))
         return max(wait_s, self._estimate_limit_wait_s(waiting, now_s))
 
@@ -153,7 +153,7 @@
 
     def _preempt(self, run: Running, now_s: float) -> Send:
         run.preempted = True
-        retry_s = self._retry.spread_s(run.expected_s)
+        retry_s = self._retry.add_jitter_s(run.expected_s)
         return Send(run.process, Preempt(run.ask.request, to_ms(retry_s)))
 
     def _preempt_or_shed(self, waiting: WaitingRequest, now_s: float) -> list[Send]:
@@ -183,7 +183,7 @@
         return self._shed(waiting, code, retry_s, f"tier={waiting.ask.tier} waited_ms={waited_ms}")
 
     def _shed(self, waiting: WaitingRequest, code: ResultCode, retry_s: float, detail: str) -> Send:
-        retry_ms = to_ms(self._retry.spread_s(retry_s))
+        retry_ms = to_ms(self._retry.add_jitter_s(retry_s))
         return Send(waiting.process, Shed(waiting.ask.request, int(code), retry_ms, detail))
 
 
--- a/troutstand/core/siteview.py
+++ b/troutstand/core/siteview.py
@@ -50,17 +50,17 @@
         # What targets said of themselves that the list shows no more.
         self._unlisted: OrderedDict[_Life, SelfReport] = OrderedDict()
 
-    def use_services(self, table: RouteTable) -> None:
+    def update_services(self, table: RouteTable) -> None:
         """Take what a configuration says of the services."""
         engines = {name: s.engine for name, s in table.services.items() if s.engine is not None}
         for pool in self.pools.values():
             pool.memory_tokens = 0
         for name, engine in engines.items():
             pool = self.pools.setdefault(name, Pool())
-            pool.stride = engine.stride
+            pool.tokens_per_event = engine.stride
             pool.memory_tokens = engine.memory_tokens
 
-    def use_targets(
+    def update_targets(
         self, listed: Iterable[ListedTarget], now_s: float, is_from_peer: bool = False
     ) -> None:
         """Take a newer list of targets; what runs at those that are gone is forgotten.
@@ -106,7 +106,7 @@
         while len(self._unlisted) > _MAX_UNLISTED:
             self._unlisted.popitem(last=False)
 
-    def use_limit_share(self, part: float, now_s: float) -> None:
+    def set_rate_limit_share(self, part: float, now_s: float) -> None:
         """Spend another part of the limits that targets name from now on."""
         if part == self._limit_share.fraction:
             return
@@ -115,7 +115,7 @@
             for state in pool.targets.values():
                 state.report.set_share(self._limit_share, now_s)
 
-    def use_rollouts(self, view: RolloutView) -> None:
+    def update_rollouts(self, view: RolloutView) -> None:
         """Take what is known of rollouts."""
         if view == self._rollouts:
             return
@@ -126,7 +126,7 @@
     def _apply_rollout(self, service: str, pool: Pool) -> None:
         pool.canary.update(self._rollouts.get_service(service), self._rollouts.limit)
         pool.admit_versions()
-        pool.forget_typical()
+        pool.invalidate_typical()
 
     def block_canary(self, service: str) -> None:
         """Send nothing more to the version on trial of a service."""
@@ -134,7 +134,7 @@
         pool.canary.block()
         pool.admit_versions()
 
-    def note_leaving(self, targets: Iterable[str]) -> None:
+    def mark_leaving(self, targets: Iterable[str]) -> None:
         """Give no more work to targets that a newer list than one's own shows as leaving.
 
         A target never stops leaving, so that the next list cannot contradict it.
@@ -145,7 +145,7 @@
                 pool.targets[name].is_listed_leaving = True
             pool.admit_versions()
 
-    def note_notices(
+    def apply_notices(
         self, gateway: str, notices: Iterable[TargetNotice], now_s: float
     ) -> list[TargetNotice]:
         """Take what targets said of themselves to a gateway; return what is news."""
@@ -165,7 +165,7 @@
         is_news = state.report.apply_notice(gateway, notice, now_s, self._limit_share)
         if state.report.is_leaving and not was_leaving:
             pool.admit_versions()
-        pool.doubts_until_s = max(pool.doubts_until_s, now_s + notice.rest_s)
+        pool.suspects_until_s = max(pool.suspects_until_s, now_s + notice.rest_s)
         return is_news
 
     def adopt(self, placed: PlacedWork, owner: str, now_s: float) -> None:
@@ -183,7 +183,7 @@
             now_s - placed.elapsed_s,
             # A prompt that is not read yet holds up those that come after it.
             uncached_tokens=0.0 if placed.has_first else state.count_uncached(work),
-            expected_first_s=placed.elapsed_s + pool.estimate_first(state, work),
+            expected_first_s=placed.elapsed_s + pool.estimate_first_byte(state, work),
             has_first_byte=placed.has_first,
         )
         state.start(run)
@@ -196,18 +196,18 @@
             if pool.hold_s is not None
         ]
 
-    def inherit_holds(self, holds: Iterable[Hold]) -> None:
+    def merge_holds(self, holds: Iterable[Hold]) -> None:
         """Take over what another scheduler had learnt, where nothing was learnt here."""
         for hold in holds:
             pool = self.pools.setdefault(hold.service, Pool())
             if pool.hold_s is None:
                 pool.hold_s = hold.hold_s
 
-    def inherit_speeds(self, speeds: Iterable[TargetSpeed]) -> None:
+    def merge_speeds(self, speeds: Iterable[TargetSpeed]) -> None:
         """Take in how fast a gateway saw the targets to be."""
         for seen in speeds:
             pool = self.pools.setdefault(seen.service, Pool())
             state = pool.targets.get(seen.target)
             if state is not None and is_same_incarnation(state.listed.born_ms, seen.born_ms):
-                state.merge_speed(seen, pool.know_reading(state))
-                pool.forget_typical()
+                state.merge_speed(seen, pool.get_prefill_speed(state))
+                pool.invalidate_typical()
--- a/troutstand/core/tiers.py
+++ b/troutstand/core/tiers.py
@@ -7,37 +7,37 @@
 from troutstand.generated.routing import TierOrder
 
 # As in the settings; routedstartup checks that the two agree.
-DEFAULT_ORDER = TierOrder.route_first
+DEFAULT_TIER_ORDER = TierOrder.route_first
 _SPAN = 1000
 
 
 @dataclass(frozen=True)
-class Tiers:
+class TierRanks:
     """Hold a request's ranks; 0 is the highest.
 
     Parameters
     ----------
-    place
+    placement
         Who gets a free slot first.
     shed
         Who is refused last.
     """
 
-    place: int
+    placement: int
     shed: int
 
 
-def rank_tiers(workspace_tier: int, route_tier: int, order: TierOrder) -> Tiers:
+def rank_tiers(workspace_tier: int, route_tier: int, order: TierOrder) -> TierRanks:
     """Return the ranks of a request."""
     by_workspace = _combine(workspace_tier, route_tier)
     by_route = _combine(route_tier, workspace_tier)
     match order:
         case TierOrder.workspace_first:
-            return Tiers(by_workspace, by_workspace)
+            return TierRanks(by_workspace, by_workspace)
         case TierOrder.route_first:
-            return Tiers(by_route, by_route)
+            return TierRanks(by_route, by_route)
         case TierOrder.shed_by_route:
-            return Tiers(by_workspace, by_route)
+            return TierRanks(by_workspace, by_route)
 
 
 def _combine(first: int, second: int) -> int:
--- a/troutstand/routing/calls.py
+++ b/troutstand/routing/calls.py
@@ -9,7 +9,7 @@
 from troutstand.core.configuration import RouteTable, pick_service
 from troutstand.core.errors import TroutstandError
 from troutstand.core.fingerprint import compute_fingerprint
-from troutstand.core.tiers import DEFAULT_ORDER, Tiers, rank_tiers
+from troutstand.core.tiers import DEFAULT_TIER_ORDER, TierRanks, rank_tiers
 from troutstand.generated.configuration import Route, RoutedWorkspace, RouteKind
 from troutstand.generated.messages import Part, RoutedWork
 from troutstand.routing.relay import Outgoing, filter_headers
@@ -54,7 +54,7 @@
     parts: list[Part]
     arrived_s: float
     deadline_s: float
-    tier_order: TierOrder = DEFAULT_ORDER
+    tier_order: TierOrder = DEFAULT_TIER_ORDER
     # The same for all requests of a caller with one path and body.
     fingerprint: str = ""
 
@@ -67,7 +67,7 @@
         return route.kind is RouteKind.idempotent
 
     @property
-    def tiers(self) -> Tiers:
+    def tiers(self) -> TierRanks:
         """Return the request's ranks."""
         own = self.workspace.tier if self.workspace is not None else None
         return rank_tiers(own or 0, self.route.tier, self.tier_order)
@@ -108,7 +108,7 @@
             service=self.service,
             route=self.route.name,
             workspace=self.workspace.name if self.workspace else "",
-            tier=self.tiers.place,
+            tier=self.tiers.placement,
             shed_tier=self.tiers.shed,
             is_repeatable=self.is_repeatable,
             objective_s=self.objective_s,
@@ -166,7 +166,7 @@
     names: HeaderNames,
     headers: Mapping[str, str],
     path: str,
-    tier_order: TierOrder = DEFAULT_ORDER,
+    tier_order: TierOrder = DEFAULT_TIER_ORDER,
 ) -> Call:
     """Find a request's route and workspace and read its headers.
 
--- a/troutstand/routing/handling.py
+++ b/troutstand/routing/handling.py
@@ -408,7 +408,7 @@
             call.request,
             code=code,
             status=status,
-            tier=call.tiers.place,
+            tier=call.tiers.placement,
             shed_tier=call.tiers.shed,
             route=call.route.name,
             version=call.version,
--- a/troutstand/routing/loadreport.py
+++ b/troutstand/routing/loadreport.py
@@ -54,7 +54,7 @@
         self._lead_s.clear()
         over: set[tuple[str, str]] = set()
         for service, pool in dispatcher.pools.items():
-            self._kept.labels(service).set(pool.count_kept(now_s))
+            self._kept.labels(service).set(pool.count_reserved_slots(now_s))
             self._waiting.labels(service).set(len(pool.waiting))
             over |= self._show_leads(service, pool)
         self._tell_over(over)
--- a/troutstand/routing/placement.py
+++ b/troutstand/routing/placement.py
@@ -96,16 +96,16 @@
             quotas, retries, self._node.random, self._crashes, self._node.load_options
         )
         now_s = read_clock_s()
-        local.use_limit_share(share, now_s)
+        local.set_rate_limit_share(share, now_s)
         if self._table is not None:
             local.update_table(self._table, now_s)
         for level in self._levels:
-            quotas.inherit(level.workspace, level.taken, share, now_s)
-        local.inherit_holds(self._holds)
+            quotas.import_usage(level.workspace, level.taken, share, now_s)
+        local.merge_holds(self._holds)
         self._follow_rollouts(local, now_s)
-        local.use_targets(self._targets.targets, now_s)
-        local.note_notices(self._node.process, self._notices.list_notices(now_s), now_s)
-        local.inherit_speeds(self._held.list_speeds(now_s))
+        local.update_targets(self._targets.targets, now_s)
+        local.apply_notices(self._node.process, self._notices.list_notices(now_s), now_s)
+        local.merge_speeds(self._held.list_speeds(now_s))
         for run in self._held.list_running(now_s):
             local.adopt(run, self._node.process, now_s)
         return local
@@ -120,7 +120,7 @@
 
         A gateway that decides alone samples nothing: its evidence would reach nobody.
         """
-        local.use_rollouts(self._rollouts.view(now_s, may_sample=False))
+        local.update_rollouts(self._rollouts.view(now_s, may_sample=False))
 
     @property
     def _current(self) -> Decider:
@@ -288,7 +288,7 @@
         now_s = read_clock_s()
         notices = [self._notices.build_notice(target, now_s)]
         if isinstance(self._current, Alone):
-            self._local.note_notices(self._node.process, notices, now_s)
+            self._local.apply_notices(self._node.process, notices, now_s)
         else:
             self._node.send(self._current, TargetNotices(notices))
 
@@ -322,7 +322,7 @@
         is_asked = process == self._current or self._is_alone()
         if reply.has_targets and is_asked and self._targets.take(reply):
             self._notices.prune(self._targets.targets, read_clock_s())
-            self._local.use_targets(self._targets.targets, read_clock_s(), is_from_peer=True)
+            self._local.update_targets(self._targets.targets, read_clock_s(), is_from_peer=True)
             self._deliver_local()
         if process == self._current:
             self._told_gateways = reply.gateways
@@ -338,7 +338,7 @@
         """Ask the present decider from now on, also what waits already."""
         if isinstance(before, Alone):
             # What this gateway took alone counts at the scheduler that it asks next.
-            held = self._local.quotas.list_taken(read_clock_s())
+            held = self._local.quotas.export_usage(read_clock_s())
             self._levels = [Level(name, parts) for name, parts in held.items()]
         self._attachment += 1
         if isinstance(self._current, Alone):
@@ -412,7 +412,7 @@
             self._targets.emit_spoiled(self._node.events)
             self._notices.prune(self._targets.targets, read_clock_s())
             if changed and self._is_alone():
-                self._local.use_targets(self._targets.targets, read_clock_s())
+                self._local.update_targets(self._targets.targets, read_clock_s())
                 self._deliver_local()
 
 
--- a/troutstand/routing/scheduler.py
+++ b/troutstand/routing/scheduler.py
@@ -148,7 +148,7 @@
         return None
 
     def _note_notices(self, peer: ProcessId, notices: list[TargetNotice], now_s: float) -> None:
-        for notice in self.dispatcher.note_notices(peer, notices, now_s):
+        for notice in self.dispatcher.apply_notices(peer, notices, now_s):
             emit_notice_accepted(self.node.events, peer, notice)
 
     def _settle(self, owner: str, request: str, answer: PeerMessage | None) -> bool:
@@ -205,13 +205,13 @@
             # A standby's list is old; the first gateway to come needs a new one.
             self._list_wanted.set()
         self._follow_rollouts(now_s)
-        self.dispatcher.note_leaving(ask.leaving)
-        self.dispatcher.note_notices(peer, ask.notices, now_s)
+        self.dispatcher.mark_leaving(ask.leaving)
+        self.dispatcher.apply_notices(peer, ask.notices, now_s)
         for run in ask.running:
             self.dispatcher.adopt(run, peer, now_s)
         self._inherit_limits(peer, ask, now_s)
-        self.dispatcher.inherit_holds(ask.holds)
-        self.dispatcher.inherit_speeds(ask.speeds)
+        self.dispatcher.merge_holds(ask.holds)
+        self.dispatcher.merge_speeds(ask.speeds)
         self.dispatcher.crashes.merge(ask.crashes, now_s)
         self.node.events.emit(
             "gateway_attached",
@@ -236,14 +236,14 @@
         self._release_limits(peer)
         portion = ask.part or 1.0 / self._gateways.gateway_count
         for level in ask.levels:
-            self.quotas.inherit(level.workspace, level.taken, portion, now_s)
+            self.quotas.import_usage(level.workspace, level.taken, portion, now_s)
         self._gateways.mark_usage_counted(peer)
 
     def _release_limits(self, peer: ProcessId) -> None:
         """Let what was taken of a gateway's part go with it."""
         share = self._gateways.release_usage(peer)
         if share:
-            self.quotas.release(share)
+            self.quotas.release_share(share)
 
     def _answer_attach(self, ask: AttachAsk, now_s: float) -> Attached:
         # A gateway takes the list from the scheduler that it asks, or from any while it
@@ -285,7 +285,7 @@
         """Return how full the limits are, summed up anew for a few heartbeats together."""
         made_s, levels = self._levels
         if now_s - made_s > _LEVELS_S:
-            held = self.quotas.list_taken(now_s)
+            held = self.quotas.export_usage(now_s)
             levels = [Level(name, parts) for name, parts in held.items()]
             self._levels = (now_s, levels)
         return levels
@@ -301,7 +301,7 @@
         share = self._gateways.get_limit_share()
         self.quotas.share = share
         self.retries.share = share
-        self.dispatcher.use_limit_share(share, read_clock_s())
+        self.dispatcher.set_rate_limit_share(share, read_clock_s())
 
     def _drop_silent(self, now_s: float) -> None:
         for gateway, silent_s in self._gateways.detach_silent(now_s).items():
@@ -330,7 +330,7 @@
         self.dispatcher.update_table(table, now_s)
 
     def _follow_rollouts(self, now_s: float) -> None:
-        self.dispatcher.use_rollouts(self.follower.rollouts.view(now_s, may_sample=True))
+        self.dispatcher.update_rollouts(self.follower.rollouts.view(now_s, may_sample=True))
 
     async def _run_list(self) -> None:
         while True:
@@ -343,7 +343,7 @@
                     )
                     now_s = read_clock_s()
                     self._follow_rollouts(now_s)
-                    self.dispatcher.use_targets(self.targets.targets, now_s)
+                    self.dispatcher.update_targets(self.targets.targets, now_s)
                     self._deliver()
                 self.targets.emit_spoiled(self.node.events)
                 self._has_list = True
--- a/troutstand/testing/virtualload.py
+++ b/troutstand/testing/virtualload.py
@@ -91,7 +91,7 @@
             ListedTarget(f"t{n}", _SERVICE, f"127.0.0.1:{n + 1}", "north", slots, ListedState.ready)
             for n in range(targets)
         ]
-        self.dispatcher.use_targets(listed, 0.0)
+        self.dispatcher.update_targets(listed, 0.0)
         self.outcomes: list[JobOutcome] = []
         self._asked: dict[str, JobOutcome] = {}
         self._events: list[tuple[float, int, Callable[[float], None]]] = []
--- a/troutstand/testing/worstload.py
+++ b/troutstand/testing/worstload.py
@@ -126,8 +126,8 @@
             ListedTarget(name, _SERVICE, f"127.0.0.1:{n}", "north", _SLOTS, ListedState.ready)
             for n, name in enumerate(list(self._speeds)[:live])
         ]
-        self._dispatcher.use_targets(listed, 0.0)
-        self._dispatcher.pools[_SERVICE].stride = _STRIDE
+        self._dispatcher.update_targets(listed, 0.0)
+        self._dispatcher.pools[_SERVICE].tokens_per_event = _STRIDE
         self._events: list[tuple[float, int, Callable[[float], None]]] = []
         self._counter = itertools.count()
         self._callers: dict[str, Caller] = {}
@@ -169,7 +169,7 @@
             service=_SERVICE,
             objective_s=kind.objective_s,
             remaining_s=arrival.at_s + kind.deadline_s - now_s,
-            tier=tiers.place,
+            tier=tiers.placement,
             shed_tier=tiers.shed,
             pause_s=0.25,
             prompt_tokens=caller.prompt,
--- a/troutstand/tests/steps/crashes.py
+++ b/troutstand/tests/steps/crashes.py
@@ -125,10 +125,10 @@
 def _run_together(desk: Desk, turn: int, first: str, second: str) -> tuple[str, str]:
     """Let two bodies run at one target, since the list shows no other meanwhile."""
     only = desk.listed[turn : turn + 1]
-    desk.dispatcher.use_targets(only, desk.now_s)
+    desk.dispatcher.update_targets(only, desk.now_s)
     pair = _arrive(desk, first), _arrive(desk, second)
     assert {desk.placed[request] for request in pair} == {only[0].target}, desk.placed
-    desk.dispatcher.use_targets(desk.listed, desk.now_s)
+    desk.dispatcher.update_targets(desk.listed, desk.now_s)
     desk.pass_time(_RUN_S)
     return pair
 
--- a/troutstand/tests/steps/dispatch.py
+++ b/troutstand/tests/steps/dispatch.py
@@ -13,7 +13,7 @@
 from troutstand.core.retries import RetryBudget
 from troutstand.core.speed import PrefillFit, PrefillSpeed
 from troutstand.core.targetstate import TargetState
-from troutstand.core.tiers import DEFAULT_ORDER, rank_tiers
+from troutstand.core.tiers import DEFAULT_TIER_ORDER, rank_tiers
 from troutstand.generated.configuration import RoutedWorkspace
 from troutstand.generated.messages import (
     Declined,
@@ -51,7 +51,7 @@
             )
             for n in range(targets)
         ]
-        self.dispatcher.use_targets(self.listed, self.now_s)
+        self.dispatcher.update_targets(self.listed, self.now_s)
         self._count = 0
 
     def arrive(self, owner: str = GATEWAY, **fields: object) -> str:
@@ -127,7 +127,7 @@
         first.slots,
         ListedState.draining,
     )
-    desk.dispatcher.use_targets([leaving, *desk.listed[1:]], desk.now_s)
+    desk.dispatcher.update_targets([leaving, *desk.listed[1:]], desk.now_s)
 
 
 @given("the second target has read the prompt parts {first} and {second}")
@@ -169,8 +169,8 @@
     " on the same route"
 )
 def arrive_by_workspace(context: Context) -> None:
-    ranks = [rank_tiers(workspace, 1, DEFAULT_ORDER) for workspace in (1, 0)]
-    names = [context.desk.arrive(tier=r.place, shed_tier=r.shed) for r in ranks]
+    ranks = [rank_tiers(workspace, 1, DEFAULT_TIER_ORDER) for workspace in (1, 0)]
+    names = [context.desk.arrive(tier=r.placement, shed_tier=r.shed) for r in ranks]
     context.low, context.high = names
 
 
@@ -309,7 +309,7 @@
     before = Desk(1, 2)
     for _ in range(20):
         before.end(before.arrive(), total_s=hold_s)
-    context.desk.dispatcher.inherit_holds(before.dispatcher.list_holds())
+    context.desk.dispatcher.merge_holds(before.dispatcher.list_holds())
 
 
 @then("those that can't be in time are refused on arrival")
@@ -325,7 +325,7 @@
 def check_own_hold_kept(context: Context) -> None:
     dispatcher = context.desk.dispatcher
     held = dispatcher.list_holds()
-    dispatcher.inherit_holds([Hold("work", 60.0)])
+    dispatcher.merge_holds([Hold("work", 60.0)])
     assert dispatcher.list_holds() == held, dispatcher.list_holds()
 
 
--- a/troutstand/tests/steps/dispatchwaiting.py
+++ b/troutstand/tests/steps/dispatchwaiting.py
@@ -124,7 +124,7 @@
 
 @given("every ending frees the slot after {hold_s:g} s and the slot is taken")
 def take_slot_with_hold(context: Context, hold_s: float) -> None:
-    context.desk.dispatcher.inherit_holds([Hold("work", hold_s)])
+    context.desk.dispatcher.merge_holds([Hold("work", hold_s)])
     take_slot_for_long(context)
 
 
--- a/troutstand/tests/steps/limits.py
+++ b/troutstand/tests/steps/limits.py
@@ -33,7 +33,7 @@
 def _make_quotas(context: Context, now_s: float, share: float = 1.0) -> Quotas:
     quotas = Quotas(context.bounds)
     quotas.share = share
-    quotas.use_workspaces([context.workspace], now_s)
+    quotas.update_workspaces([context.workspace], now_s)
     return quotas
 
 
@@ -70,8 +70,8 @@
 
 
 def _hand_over(source: Quotas, goal: Quotas, portion: float, now_s: float) -> None:
-    for workspace, parts in source.list_taken(now_s).items():
-        goal.inherit(workspace, parts, portion, now_s)
+    for workspace, parts in source.export_usage(now_s).items():
+        goal.import_usage(workspace, parts, portion, now_s)
 
 
 @when(
@@ -112,7 +112,7 @@
         lent += 1
     now_s = float(after_s)
     for _ in range(lent):
-        quotas.give_back("w", _REQUEST_TOKENS, 0.0, now_s)
+        quotas.refund("w", _REQUEST_TOKENS, 0.0, now_s)
     while now_s < after_s + length_s:
         if quotas.take("w", _REQUEST_TOKENS, now_s).verdict is not Verdict.REFUSED:
             context.taken.append((now_s, _REQUEST_TOKENS))
@@ -134,7 +134,7 @@
 @then("a request of {tokens:d} tokens passes, and the next must wait {wait_s:d} s or more")
 def check_large(context: Context, tokens: int, wait_s: int) -> None:
     quotas = _make_quotas(context, 0.0)
-    assert quotas.take("w", tokens, 0.0).verdict is Verdict.OWED
+    assert quotas.take("w", tokens, 0.0).verdict is Verdict.WITHIN_LIMIT
     following = quotas.take("w", tokens, 0.0)
     assert following.verdict is Verdict.REFUSED
     assert following.wait_s >= wait_s - _EPSILON
@@ -148,7 +148,7 @@
 @when("{requests:d} requests and {repeats:d} repeats come within {length_s:d} s")
 def ask_repeats(context: Context, requests: int, repeats: int, length_s: int) -> None:
     for number in range(requests):
-        context.budget.note_request("work", length_s * number / requests)
+        context.budget.record_request("work", length_s * number / requests)
     context.allowed = sum(context.budget.take("work", length_s) for _ in range(repeats))
 
 
@@ -167,7 +167,7 @@
 def check_order(context: Context, count: int) -> None:
     quotas = _make_quotas(context, 0.0)
     verdicts = [quotas.take("w", 2 * _REQUEST_TOKENS, 0.0).verdict for _ in range(count)]
-    order = [Verdict.OWED, Verdict.SPARE, Verdict.REFUSED]
+    order = [Verdict.WITHIN_LIMIT, Verdict.EXCESS, Verdict.REFUSED]
     assert verdicts == sorted(verdicts, key=order.index), verdicts
     assert set(verdicts) == set(order), verdicts
 
@@ -184,7 +184,7 @@
         judged = quotas.take("w", 100.0, now_s)
         assert judged.verdict is not Verdict.REFUSED, judged
         if number % 2:
-            quotas.give_back("w", 100.0, now_s, now_s + 0.3 * (number % 3))
+            quotas.refund("w", 100.0, now_s, now_s + 0.3 * (number % 3))
         else:
             context.kept.append(now_s)
     context.window = quotas._limits["w"].window
--- a/troutstand/tests/steps/limitshandover.py
+++ b/troutstand/tests/steps/limitshandover.py
@@ -50,9 +50,9 @@
     """Return the levels of a gateway that decided alone and took a share of its part."""
     quotas = Quotas(QuotaBounds(_WINDOW_S))
     quotas.share = 1.0 / count
-    quotas.use_workspaces([_WORKSPACE], clock.now_s)
+    quotas.update_workspaces([_WORKSPACE], clock.now_s)
     quotas.take(_WORKSPACE.name, share * 1000.0 * _WINDOW_S / count, clock.now_s)
-    return [Level(name, parts) for name, parts in quotas.list_taken(clock.now_s).items()]
+    return [Level(name, parts) for name, parts in quotas.export_usage(clock.now_s).items()]
 
 
 @given("{count:d} gateways that took {share:g} of a workspace's limit together")
@@ -65,7 +65,7 @@
     context.schedulers = []
     for _ in range(2):
         make_scheduler(context, 2)
-        context.scheduler.quotas.use_workspaces([_WORKSPACE], context.clock.now_s)
+        context.scheduler.quotas.update_workspaces([_WORKSPACE], context.clock.now_s)
         context.schedulers.append(context.scheduler)
     context.scheduler = context.schedulers[0]
 
@@ -147,8 +147,8 @@
 
 def _read_taken(context: Context) -> float:
     quotas = context.scheduler.quotas
-    quotas.list_taken(context.clock.now_s)
-    return quotas.read_taken(_WORKSPACE.name)
+    quotas.export_usage(context.clock.now_s)
+    return quotas.get_usage_share(_WORKSPACE.name)
 
 
 @then("it counts {share:g} of the limit as taken")
--- a/troutstand/tests/steps/lives.py
+++ b/troutstand/tests/steps/lives.py
@@ -27,7 +27,7 @@
 def make_desk(context: Context) -> None:
     desk = context.desk = Desk(2, 4)
     desk.listed = [msgspec.structs.replace(t, born_ms=_BORN_MS) for t in desk.listed]
-    desk.dispatcher.use_targets(desk.listed, desk.now_s)
+    desk.dispatcher.update_targets(desk.listed, desk.now_s)
 
 
 def _first(context: Context) -> TargetState:
@@ -75,7 +75,7 @@
     desk = context.desk
     first = msgspec.structs.replace(desk.listed[0], born_ms=born_ms)
     listed = [first, *desk.listed[1:]]
-    desk.dispatcher.use_targets(listed, desk.now_s, is_from_peer=is_from_peer)
+    desk.dispatcher.update_targets(listed, desk.now_s, is_from_peer=is_from_peer)
     desk.collect()
 
 
@@ -111,7 +111,7 @@
     work = RoutedWork(request="brought", service=_SERVICE, objective_s=1.0, remaining_s=8.0)
     desk.dispatcher.adopt(PlacedWork(work, "t1", 0.1, born_ms=born_ms), "gateway-9", desk.now_s)
     speed = TargetSpeed(_SERVICE, "t1", token_s=0.01, token_samples=5, born_ms=born_ms)
-    desk.dispatcher.inherit_speeds([speed])
+    desk.dispatcher.merge_speeds([speed])
 
 
 @given("a gateway that saw speeds of two lives of a target")
--- a/troutstand/tests/steps/pacing.py
+++ b/troutstand/tests/steps/pacing.py
@@ -34,7 +34,7 @@
 
 @when("the desk decides for {part:g} of the gateways")
 def use_part(context: Context, part: float) -> None:
-    context.desk.dispatcher.use_limit_share(part, context.desk.now_s)
+    context.desk.dispatcher.set_rate_limit_share(part, context.desk.now_s)
 
 
 @when("gateway-1 and gateway-2 ask for all places for {length_s:g} s")
@@ -138,8 +138,8 @@
 @when("the list of targets lacks t1 once")
 def lack_once(context: Context) -> None:
     desk = context.desk
-    desk.dispatcher.use_targets(desk.listed[1:], desk.now_s)
-    desk.dispatcher.use_targets(desk.listed, desk.now_s)
+    desk.dispatcher.update_targets(desk.listed[1:], desk.now_s)
+    desk.dispatcher.update_targets(desk.listed, desk.now_s)
 
 
 @when("t1 loses each of its answers for {length_s:g} s while all others are held off")
--- a/troutstand/tests/steps/reach.py
+++ b/troutstand/tests/steps/reach.py
@@ -41,7 +41,7 @@
             for domain in domains
             for n in range(targets)
         ]
-        self.dispatcher.use_targets(listed, self.now_s)
+        self.dispatcher.update_targets(listed, self.now_s)
 
     def place(
         self, source: str, excluded: list[str], is_repeatable: bool = False
--- a/troutstand/tests/steps/rest.py
+++ b/troutstand/tests/steps/rest.py
@@ -31,7 +31,7 @@
 
 
 def tell(desk: Desk, gateway: str, *notices: TargetNotice) -> None:
-    desk.dispatcher.note_notices(gateway, notices, desk.now_s)
+    desk.dispatcher.apply_notices(gateway, notices, desk.now_s)
 
 
 def _fill(desk: Desk, targets: set[str]) -> None:
@@ -96,23 +96,23 @@
 @when("the list of targets is read again")
 def read_again(context: Context) -> None:
     desk = context.desk
-    desk.dispatcher.use_targets(desk.listed, desk.now_s)
+    desk.dispatcher.update_targets(desk.listed, desk.now_s)
 
 
 @when("the list of targets tells of a new life of t1")
 def read_new_life(context: Context) -> None:
     desk = context.desk
     before = [msgspec.structs.replace(t, born_ms=_NEW_LIFE_MS - 1) for t in desk.listed]
-    desk.dispatcher.use_targets(before, desk.now_s)
+    desk.dispatcher.update_targets(before, desk.now_s)
     first = msgspec.structs.replace(desk.listed[0], born_ms=_NEW_LIFE_MS)
-    desk.dispatcher.use_targets([first, *before[1:]], desk.now_s)
+    desk.dispatcher.update_targets([first, *before[1:]], desk.now_s)
 
 
 @when("the list of targets shows t1 as draining")
 def read_draining(context: Context) -> None:
     desk = context.desk
     first = msgspec.structs.replace(desk.listed[0], state=ListedState.draining)
-    desk.dispatcher.use_targets([first, *desk.listed[1:]], desk.now_s)
+    desk.dispatcher.update_targets([first, *desk.listed[1:]], desk.now_s)
 
 
 @when("the list of targets shows t1 as draining, then as ready")
@@ -134,7 +134,7 @@
 
 @when("a gateway's own list shows t1 as leaving")
 def tell_listed(context: Context) -> None:
-    context.desk.dispatcher.note_leaving(["t1"])
+    context.desk.dispatcher.mark_leaving(["t1"])
 
 
 @when("a gateway that attaches brings that t1 leaves and t2 wants {rest_s:g} s of rest")
@@ -234,7 +234,7 @@
 @then("the service has no room to spare")
 def check_spare(context: Context) -> None:
     desk = context.desk
-    assert not desk.dispatcher.pools["work"].has_spare(desk.now_s)
+    assert not desk.dispatcher.pools["work"].has_spare_capacity(desk.now_s)
 
 
 # The gateway's book
--- a/troutstand/tests/steps/rollouts.py
+++ b/troutstand/tests/steps/rollouts.py
@@ -164,8 +164,8 @@
         for n in range(count)
     ]
     view = RolloutView(RolloutBook([rollout]), is_leased=True, may_sample=True, limit=_LIMIT)
-    context.desk.dispatcher.use_rollouts(view)
-    context.desk.dispatcher.use_targets(listed, context.desk.now_s)
+    context.desk.dispatcher.update_rollouts(view)
+    context.desk.dispatcher.update_targets(listed, context.desk.now_s)
     context.got = Counter()
 
 
--- a/troutstand/tests/steps/takeover.py
+++ b/troutstand/tests/steps/takeover.py
@@ -46,7 +46,7 @@
         ListedTarget(f"t{n}", _SERVICE, f"127.0.0.1:{n + 1}", "north", slots, ListedState.ready)
         for n in range(targets)
     ]
-    dispatcher.use_targets(listed, _NOW_S)
+    dispatcher.update_targets(listed, _NOW_S)
     return dispatcher
 
 
@@ -158,14 +158,14 @@
 def inherit_speeds(context: Context) -> None:
     context.dispatcher = _make_dispatcher(context.count, None)
     for seen in context.seen:
-        context.dispatcher.inherit_speeds(seen.list_recent(_NOW_S))
+        context.dispatcher.merge_speeds(seen.list_recent(_NOW_S))
 
 
 @then("the second target gets it, expected within {limit_s:g} s")
 def check_second(context: Context, limit_s: float) -> None:
     assert context.target == "t1", context.target
     pool = context.dispatcher.pools[_SERVICE]
-    expected_s = pool.know_reading(pool.targets["t1"]).estimate(4000)
+    expected_s = pool.get_prefill_speed(pool.targets["t1"]).estimate(4000)
     assert expected_s < limit_s, expected_s
 
 
@@ -243,7 +243,7 @@
 @given("a scheduler whose only slot is taken and gets free every {hold_s:g} s")
 def use_held_slot(context: Context, hold_s: float) -> None:
     use_taken_slot(context)
-    context.dispatcher.inherit_holds([Hold(_SERVICE, hold_s)])
+    context.dispatcher.merge_holds([Hold(_SERVICE, hold_s)])
 
 
 @when("a request moves there with {spent_s:g} of {objective_s:g} s spent")
@@ -272,7 +272,7 @@
 
 @when("a gateway tells that the first target is leaving, and asks twice")
 def tell_leaving(context: Context) -> None:
-    context.dispatcher.note_leaving(["t0", "a target that is gone"])
+    context.dispatcher.mark_leaving(["t0", "a target that is gone"])
     context.got = [_place(context.dispatcher, name, 10) for name in ("one", "two")]
 
 
--- a/troutstand/tests/steps/worstload.py
+++ b/troutstand/tests/steps/worstload.py
@@ -10,7 +10,7 @@
 from behave import given, then, when
 
 from troutstand.core.targetstate import TargetState
-from troutstand.core.tiers import DEFAULT_ORDER
+from troutstand.core.tiers import DEFAULT_TIER_ORDER
 from troutstand.generated.messages import Ended, Ending, FirstByte
 from troutstand.generated.routing import RoutingSettings, TierOrder
 from troutstand.testing.worstload import Replay, read_arrivals
@@ -33,7 +33,7 @@
 
 @when("the recorded load is replayed")
 def replay(context: Context) -> None:
-    _replay(context, DEFAULT_ORDER)
+    _replay(context, DEFAULT_TIER_ORDER)
 
 
 @when("the recorded load is replayed, ranked by {order}")
@@ -64,7 +64,7 @@
     del context
     fields, defaults = RoutingSettings.__struct_fields__, RoutingSettings.__struct_defaults__
     default = dict(zip(reversed(fields), reversed(defaults), strict=False))["tier_order"]
-    assert default is DEFAULT_ORDER, default
+    assert default is DEFAULT_TIER_ORDER, default
 
 
 # Many that wait
