--- a/benchmarks/dispatching.py
+++ b/benchmarks/dispatching.py
@@ -10,7 +10,7 @@
 from benchmarks.report import report
 from troutstand.core.dispatch import Dispatcher
 from troutstand.core.quota import QuotaBounds, Quotas
-from troutstand.core.retries import RetryBudget
+from troutstand.core.retrybudget import RetryBudget
 from troutstand.generated.messages import (
     Ended,
     Ending,
--- a/benchmarks/virtual.py
+++ b/benchmarks/virtual.py
@@ -8,12 +8,12 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from troutstand.core.estimate import Running, TargetEstimate
 from troutstand.core.ids import RequestId
 from troutstand.core.policy import Policy, PolicyName
 from troutstand.core.prefix import PrefixCache, Prefixes, count_tokens, hash_prefixes
 from troutstand.core.scheduler import Scheduler
 from troutstand.core.table import Table, get_row_id
+from troutstand.core.targetestimate import Running, TargetEstimate
 from troutstand.generated.messages import Finished, Grant, PlacementAsk, Preempt, Shed
 from troutstand.generated.table import Model, Protocol, Target, Tier, Workspace
 from troutstand.testing.mixes import Drawer, Drawn, Mix
--- a/troutstand/core/dispatch.py
+++ b/troutstand/core/dispatch.py
@@ -9,7 +9,6 @@
 from typing import TYPE_CHECKING
 
 from troutstand.core.admissionqueue import AdmissionQueue
-from troutstand.core.choice import TargetChoice, find_link
 from troutstand.core.codes import ResultCode
 from troutstand.core.crashtracker import MAX_ISOLATED, CrashTracker, Suspicion
 from troutstand.core.decision import Decision, PlacedInputs
@@ -20,6 +19,7 @@
 from troutstand.core.scheduling.options import LoadOptions
 from troutstand.core.scheduling.serviceshares import DEFAULT_WEIGHT, UNSHARED
 from troutstand.core.scheduling.waitingqueue import WaitingRequest
+from troutstand.core.targetchoice import TargetChoice, find_link
 from troutstand.core.targetstate import RunningRequest, TargetState
 from troutstand.generated.messages import Ending, Placed
 
@@ -29,7 +29,7 @@
 
     from troutstand.core.configuration import RouteTable
     from troutstand.core.quota import Quotas
-    from troutstand.core.retries import RetryBudget
+    from troutstand.core.retrybudget import RetryBudget
     from troutstand.core.scheduling.serviceshares import ShareTag
     from troutstand.generated.messages import (
         Ended,
@@ -246,7 +246,9 @@
                 pool.invalidate_typical()
                 if run.work.prompt_tokens and ended.produced_events > 1:
                     decode_s = ended.total_s - max(0.0, ended.first_s)
-                    state.token_s.add_sample(decode_s / (ended.produced_events * pool.tokens_per_event))
+                    state.token_s.add_sample(
+                        decode_s / (ended.produced_events * pool.tokens_per_event)
+                    )
                 elif not run.work.prompt_tokens:
                     state.service_s.add_sample(ended.total_s)
             case Ending.failed:
--- a/troutstand/core/policy.py
+++ b/troutstand/core/policy.py
@@ -14,8 +14,8 @@
 import xxhash
 
 if TYPE_CHECKING:
-    from troutstand.core.estimate import TargetEstimate
     from troutstand.core.prefix import Prefixes
+    from troutstand.core.targetestimate import TargetEstimate
     from troutstand.generated.messages import PlacementAsk
 
 
--- a/troutstand/core/pool.py
+++ b/troutstand/core/pool.py
@@ -192,7 +192,9 @@
         """Return the seconds until a target's first byte for a request."""
         if not work.prompt_tokens:
             return self._know(state, "service_s", _GUESS_SERVICE_S)
-        return self.get_prefill_speed(state).estimate(state.count_uncached(work) + state.backlog_tokens)
+        return self.get_prefill_speed(state).estimate(
+            state.count_uncached(work) + state.backlog_tokens
+        )
 
     def get_token_time(self, state: TargetState) -> float:
         """Return the seconds that a target takes for a token of an answer."""
--- a/troutstand/core/quota.py
+++ b/troutstand/core/quota.py
@@ -14,7 +14,7 @@
 from enum import Enum
 from typing import TYPE_CHECKING
 
-from troutstand.core.window import SlidingWindow
+from troutstand.core.slidingwindow import SlidingWindow
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Sequence
--- a/troutstand/core/load.py
+++ b/troutstand/core/runningload.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from troutstand.core.estimate import Running
+    from troutstand.core.targetestimate import Running
 
 
 @dataclass(frozen=True)
--- a/troutstand/core/scheduler.py
+++ b/troutstand/core/scheduler.py
@@ -11,14 +11,14 @@
 
 from troutstand.core.codes import ResultCode
 from troutstand.core.crashtracker import MAX_ISOLATED, CrashTracker, Suspicion
-from troutstand.core.estimate import Health
 from troutstand.core.fairqueue import FairQueue, WaitingRequest
 from troutstand.core.ids import RequestId
-from troutstand.core.load import QueueKey
 from troutstand.core.policy import Choice, Policy, PolicyName
 from troutstand.core.prefix import Prefixes
-from troutstand.core.retry import MIN_RETRY_S
+from troutstand.core.retryjitter import MIN_RETRY_S
+from troutstand.core.runningload import QueueKey
 from troutstand.core.shedding import PREEMPT_MARGIN_S, Send, SheddingQueue, to_ms
+from troutstand.core.targetestimate import Health
 from troutstand.generated.messages import (
     Finished,
     Grant,
@@ -31,7 +31,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from troutstand.core.estimate import TargetEstimate
+    from troutstand.core.targetestimate import TargetEstimate
     from troutstand.generated.messages import TargetNotice, TargetNotices
     from troutstand.generated.table import Tier
 
--- a/troutstand/core/shedding.py
+++ b/troutstand/core/shedding.py
@@ -10,12 +10,12 @@
 from troutstand.core.domainview import DomainView
 from troutstand.core.fairqueue import FairQueue, WaitingRequest
 from troutstand.core.ids import RequestId
-from troutstand.core.load import QueueKey, TierCount
-from troutstand.core.retry import RetryJitter
+from troutstand.core.retryjitter import RetryJitter
+from troutstand.core.runningload import QueueKey, TierCount
 from troutstand.generated.messages import Grant, Preempt, Shed
 
 if TYPE_CHECKING:
-    from troutstand.core.estimate import Running, TargetEstimate
+    from troutstand.core.targetestimate import Running, TargetEstimate
 
 _MS_PER_S = 1000
 # A waiting request may preempt a lower tier from this long before its latest start.
--- a/troutstand/routing/placement.py
+++ b/troutstand/routing/placement.py
@@ -18,7 +18,7 @@
 from troutstand.core.errors import TroutstandError
 from troutstand.core.noticestore import NoticeStore
 from troutstand.core.quota import QuotaBounds, Quotas
-from troutstand.core.retries import RetryBudget
+from troutstand.core.retrybudget import RetryBudget
 from troutstand.generated.messages import (
     Abandon,
     AttachAsk,
--- a/troutstand/routing/scheduler.py
+++ b/troutstand/routing/scheduler.py
@@ -10,7 +10,7 @@
 from troutstand.core.dispatch import Dispatcher
 from troutstand.core.gatewayregistry import GATEWAY_TIMEOUT_S, GatewayRegistry
 from troutstand.core.quota import QuotaBounds, Quotas
-from troutstand.core.retries import RetryBudget
+from troutstand.core.retrybudget import RetryBudget
 from troutstand.generated.messages import (
     Abandon,
     AttachAsk,
--- a/troutstand/testing/virtualload.py
+++ b/troutstand/testing/virtualload.py
@@ -9,7 +9,7 @@
 
 from troutstand.core.dispatch import Dispatcher
 from troutstand.core.quota import QuotaBounds, Quotas
-from troutstand.core.retries import RetryBudget
+from troutstand.core.retrybudget import RetryBudget
 from troutstand.generated.messages import (
     Declined,
     Ended,
--- a/troutstand/tests/steps/reach.py
+++ b/troutstand/tests/steps/reach.py
@@ -9,7 +9,7 @@
 from troutstand.core.dispatch import Dispatcher
 from troutstand.core.quota import QuotaBounds, Quotas
 from troutstand.core.reachability import Link
-from troutstand.core.retries import RetryBudget
+from troutstand.core.retrybudget import RetryBudget
 from troutstand.generated.messages import (
     Ended,
     Ending,
--- a/troutstand/tests/steps/takeover.py
+++ b/troutstand/tests/steps/takeover.py
@@ -14,7 +14,7 @@
 from troutstand.core.dispatch import Dispatcher
 from troutstand.core.observedspeeds import ObservedSpeeds
 from troutstand.core.quota import QuotaBounds, Quotas
-from troutstand.core.retries import RetryBudget
+from troutstand.core.retrybudget import RetryBudget
 from troutstand.generated.messages import (
     Declined,
     Ended,
