--- a/troutstand/core/dispatch.py
+++ b/troutstand/core/dispatch.py
@@ -323,7 +323,9 @@
         busy = pool.summarize_busy(now_s)
         skipped = 0
         for waiting in ordered:
-            if self._options.protects_tiers and pool.is_reserved_for_higher_tiers(waiting.work.tier, now_s):
+            if self._options.protects_tiers and pool.is_reserved_for_higher_tiers(
+                waiting.work.tier, now_s
+            ):
                 # No later request has a higher tier.
                 return
             suspicion = self.crashes.get_suspicion(waiting.work.fingerprint, now_s)
