--- a/troutstand/core/backoff.py
+++ b/troutstand/core/backoff.py
@@ -1,79 +1,78 @@
-"""Keep for how long a target wants to be left alone, and by which gateways."""
+"""Back-off periods that a target requested, by gateway."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-# A target that asked one gateway for rest is tried by the others no sooner than this after
-# its last request for rest, in seconds: each try that is turned away costs a request one of
-# its attempts (chosen, not measured).
-_TRY_AFTER_S = 0.2
-# A target that turned a request away without a time is doubted for so long, in seconds, and
-# for twice as long each time until it answers again (chosen, not measured).
-_FIRST_DOUBT_S = 0.05
-_MAX_DOUBT_S = 0.8
+# Minimum time between a rejection and the next probe by another gateway, since each
+# rejected probe costs a request one of its attempts.
+_PROBE_AFTER_S = 0.2
+# Suspect period after a rejection without Retry-After; doubles until the next answer.
+_INITIAL_SUSPECT_S = 0.05
+_MAX_SUSPECT_S = 0.8
 _NEVER_S = float("-inf")
 
 
 @dataclass
 class Backoff:
-    """Hold the rests that one target asked for; times in seconds.
+    """Track the back-off periods that one target requested; times in seconds.
 
-    A rest binds the gateway that was asked. For the others it is a doubt: they prefer
-    targets without it, and try this one with single requests until it answers again or the
-    rest is over.
+    A back-off is binding for the gateway that received it. For other gateways the target is
+    suspect: it gets single probes until it answers again or the period ends.
     """
 
-    _until_s: dict[str, float] = field(default_factory=dict)
-    _asked_s: float = _NEVER_S
-    _wanted_until_s: float = _NEVER_S
-    _doubted_until_s: float = _NEVER_S
-    _next_doubt_s: float = _FIRST_DOUBT_S
-
-    def start(self, gateway: str, rest_s: float, now_s: float) -> None:
-        """Note that a gateway was asked for so many seconds of rest."""
-        ends_s = max(self.get_end_s(gateway), now_s + rest_s)
-        self._until_s = {g: until_s for g, until_s in self._until_s.items() if until_s > now_s}
-        self._until_s[gateway] = ends_s
-        self._asked_s = now_s
-        self._wanted_until_s = max(self._wanted_until_s, ends_s)
-        self._doubted_until_s = max(self._doubted_until_s, ends_s)
+    _end_s_by_gateway: dict[str, float] = field(default_factory=dict)
+    _last_rejection_s: float = _NEVER_S
+    _requested_until_s: float = _NEVER_S
+    _suspect_until_s: float = _NEVER_S
+    _next_suspect_s: float = _INITIAL_SUSPECT_S
+
+    def start(self, gateway: str, duration_s: float, now_s: float) -> None:
+        """Start a back-off for a gateway."""
+        end_s = max(self.get_end_s(gateway), now_s + duration_s)
+        self._end_s_by_gateway = {
+            g: until_s for g, until_s in self._end_s_by_gateway.items() if until_s > now_s
+        }
+        self._end_s_by_gateway[gateway] = end_s
+        self._last_rejection_s = now_s
+        self._requested_until_s = max(self._requested_until_s, end_s)
+        self._suspect_until_s = max(self._suspect_until_s, end_s)
 
     def suspect(self, now_s: float) -> float:
-        """Note that the target turned a request away; return the seconds of doubt."""
-        doubt_s = self._next_doubt_s
-        self._next_doubt_s = min(_MAX_DOUBT_S, 2.0 * doubt_s)
-        self._asked_s = now_s
-        self._doubted_until_s = max(self._doubted_until_s, now_s + doubt_s)
-        return doubt_s
+        """Mark the target as suspect after a rejection; return the duration in seconds."""
+        suspect_s = self._next_suspect_s
+        self._next_suspect_s = min(_MAX_SUSPECT_S, 2.0 * suspect_s)
+        self._last_rejection_s = now_s
+        self._suspect_until_s = max(self._suspect_until_s, now_s + suspect_s)
+        return suspect_s
 
     def get_end_s(self, gateway: str) -> float:
-        """Return until when a gateway must send nothing."""
-        return self._until_s.get(gateway, _NEVER_S)
+        """Return the end of a gateway's back-off."""
+        return self._end_s_by_gateway.get(gateway, _NEVER_S)
 
     def is_active(self, gateway: str, now_s: float) -> bool:
-        """Tell whether a gateway must send nothing now."""
+        """Return whether a gateway must not send requests now."""
         return now_s < self.get_end_s(gateway)
 
     def is_suspect(self, now_s: float) -> bool:
-        """Tell whether the target may turn other gateways away as well."""
-        return now_s < self._doubted_until_s
+        """Return whether the target is likely to reject requests of any gateway."""
+        return now_s < self._suspect_until_s
 
     def is_requested(self, now_s: float) -> bool:
-        """Tell whether the target asked any gateway for rest and answered none since."""
-        return now_s < self._wanted_until_s
+        """Return whether a back-off of any gateway is in effect, with no answer since."""
+        return now_s < self._requested_until_s
 
-    def is_after_last(self, started_s: float) -> bool:
-        """Tell whether a request was sent after the last rest was asked for."""
-        return started_s > self._asked_s
+    def is_after_last_rejection(self, started_s: float) -> bool:
+        """Return whether a request was sent after the last rejection."""
+        return started_s > self._last_rejection_s
 
     def may_probe(self, now_s: float) -> bool:
-        """Tell whether a doubted target may be tried with a request now."""
-        return now_s - self._asked_s >= _TRY_AFTER_S
+        """Return whether a suspect target may be probed now."""
+        return now_s - self._last_rejection_s >= _PROBE_AFTER_S
 
     def record_answer(self, started_s: float) -> None:
-        """Drop the doubt where a request that was sent after it got an answer."""
-        if self.is_after_last(started_s):
-            self._wanted_until_s = _NEVER_S
-            self._doubted_until_s = _NEVER_S
-            self._next_doubt_s = _FIRST_DOUBT_S
+        """Clear the suspicion if the answered request was sent after the last rejection."""
+        if self.is_after_last_rejection(started_s):
+            self._requested_until_s = _NEVER_S
+            self._suspect_until_s = _NEVER_S
+            self._next_suspect_s = _INITIAL_SUSPECT_S
--- a/troutstand/core/speed.py
+++ b/troutstand/core/speed.py
@@ -1,46 +1,45 @@
-"""Learn how fast a target is from the times of its answers."""
+"""Estimators of a target's speed from the times of its answers."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
 _EWMA = 0.25
-# How much an older first byte still counts when a newer one comes: about twenty
-# answers, a second or two of a busy engine (chosen, not measured).
-_KEPT_WEIGHT = 0.95
-# A prior counts as two first bytes, of an empty prompt and of one of so many tokens.
+# Decay of older samples with each new one; the window is about 20 samples.
+_DECAY = 0.95
+# The prior counts as two samples: an empty prompt and one with this many tokens.
 _PRIOR_TOKENS = 4000.0
-# A fit may say that a token costs nothing or less; a share of the prior is kept.
+# Lower bound of the fitted slope as a share of the prior, since a fit can be negative.
 _MIN_SLOPE_SHARE = 0.1
 _MIN_CONSTANT_S = 1e-3
-# Sums passed on count for no more first bytes than a fit keeps of its own.
-_MOST_WEIGHT = 1.0 / (1.0 - _KEPT_WEIGHT)
+# Caps the weight of merged sums at the limit that decayed samples converge to.
+_MAX_WEIGHT = 1.0 / (1.0 - _DECAY)
 
 
 @dataclass
 class MovingAverage:
-    """Hold a learnt speed; nothing learnt yet is None."""
+    """Hold an exponentially weighted moving average; None before the first sample."""
 
     value: float | None = None
     samples: int = 0
 
     def add_sample(self, sample: float) -> None:
-        """Move towards a sample."""
+        """Update the average with a sample."""
         self.samples += 1
         self.value = sample if self.value is None else self.value + _EWMA * (sample - self.value)
 
     def merge(self, value: float, samples: int) -> None:
-        """Take in what another learnt, each side by the number of its samples."""
+        """Merge another average, weighted by the number of samples."""
         if not samples:
             return
-        held = self.value if self.value is not None else value
-        self.value = (held * self.samples + value * samples) / (self.samples + samples)
+        own = self.value if self.value is not None else value
+        self.value = (own * self.samples + value * samples) / (self.samples + samples)
         self.samples += samples
 
 
 @dataclass
 class PrefillSums:
-    """Sum first bytes up, so that a line can be fitted to them and sums be added."""
+    """Hold weighted sums of (tokens, seconds) samples for a linear least squares fit."""
 
     weight: float = 0.0
     tokens: float = 0.0
@@ -49,50 +48,50 @@
     product: float = 0.0
 
     def add(self, tokens: float, seconds: float) -> None:
-        """Add one first byte."""
+        """Add one sample."""
         self.merge(PrefillSums(1.0, tokens, seconds, tokens * tokens, tokens * seconds))
 
     def merge(self, other: PrefillSums) -> None:
-        """Add the sums of others."""
+        """Add other sums."""
         self.weight += other.weight
         self.tokens += other.tokens
         self.seconds += other.seconds
         self.tokens_squared += other.tokens_squared
         self.product += other.product
 
-    def scale(self, share: float) -> None:
-        """Let everything held count for a share only."""
-        self.weight *= share
-        self.tokens *= share
-        self.seconds *= share
-        self.tokens_squared *= share
-        self.product *= share
+    def scale(self, factor: float) -> None:
+        """Multiply all sums by a factor."""
+        self.weight *= factor
+        self.tokens *= factor
+        self.seconds *= factor
+        self.tokens_squared *= factor
+        self.product *= factor
 
     def to_list(self) -> list[float]:
-        """Return the sums in the order of the fields."""
+        """Return the sums in field order."""
         return [self.weight, self.tokens, self.seconds, self.tokens_squared, self.product]
 
 
 @dataclass(frozen=True)
 class PrefillSpeed:
-    """Tell how long a first byte takes: a constant, and more for each prompt token to read."""
+    """Model the time to first byte as linear in the uncached prompt tokens."""
 
     constant_s: float
     per_token_s: float
 
     def estimate(self, tokens: float) -> float:
-        """Return the seconds until the first byte."""
+        """Return the estimated time to first byte in seconds."""
         return self.constant_s + self.per_token_s * tokens
 
 
 @dataclass
 class PrefillFit:
-    """Fit a reading speed to a target's first bytes by least squares, newer ones first.
+    """Fit the prefill speed of a target by exponentially weighted least squares.
 
     Parameters
     ----------
     prior
-        What is believed before the first sample.
+        Speed before the first sample.
     """
 
     prior: PrefillSpeed
@@ -105,24 +104,24 @@
             self._sums.add(tokens, self.prior.estimate(tokens))
 
     def add_sample(self, tokens: float, seconds: float) -> None:
-        """Take the time of one first byte.
+        """Add the time to first byte of one request.
 
         Parameters
         ----------
         tokens
-            Prompt tokens read until then: the request's own and those ahead of it.
+            Uncached prompt tokens of the request and of those queued before it.
         seconds
-            From sending the request to its first byte.
+            Time from sending the request to its first byte.
         """
-        self._sums.scale(_KEPT_WEIGHT)
+        self._sums.scale(_DECAY)
         self._sums.add(tokens, seconds)
         self.speed = self._solve()
 
     def merge(self, sums: PrefillSums) -> None:
-        """Take in the first bytes that others saw."""
+        """Merge samples of another process."""
         self._sums.merge(sums)
-        if self._sums.weight > _MOST_WEIGHT:
-            self._sums.scale(_MOST_WEIGHT / self._sums.weight)
+        if self._sums.weight > _MAX_WEIGHT:
+            self._sums.scale(_MAX_WEIGHT / self._sums.weight)
         self.speed = self._solve()
 
     def _solve(self) -> PrefillSpeed:
--- a/troutstand/core/targetstate.py
+++ b/troutstand/core/targetstate.py
@@ -1,4 +1,4 @@
-"""Keep what a scheduler knows of one target: its work, speed, cache and health."""
+"""Per-target scheduling state: running requests, speed, cache contents and health."""
 
 from __future__ import annotations
 
@@ -20,29 +20,27 @@
 _HEALTH_EWMA = 0.15
 _FIRST_BLOCK_S = 0.5
 _MAX_BLOCK_S = 4.0
-_TURNED_AWAY_BLOCK_S = 0.05
-# A target that is held off gets a probe no sooner than this after its last loss, in seconds
-# (chosen, not measured): a target that refuses connections would spend a queue of callers
-# within milliseconds.
+_REJECTION_BLOCK_S = 0.05
+# Minimum time between a loss and the next probe. Without it a target that refuses
+# connections would fail many queued requests within milliseconds.
 _PROBE_AFTER_S = 0.2
-_MIN_SILENT_S = 1.2
-_SILENT_FACTOR = 6.0
-_KEPT_PARTS = 4000
-# How long a gateway is taken to keep an idle connection to a target.
-_KEPT_CONNECTION_S = 2.5
+_MIN_OVERDUE_S = 1.2
+_OVERDUE_FACTOR = 6.0
+_MAX_CACHED_PARTS = 4000
+_CONNECTION_IDLE_TIMEOUT_S = 2.5
 _MIN_SERVICE_S = 1e-4
 
 
 @dataclass
 class RunningRequest:
-    """Follow one request at a target; times in seconds on the steady clock."""
+    """Describe one request in flight at a target; times in seconds on the monotonic clock."""
 
     work: RoutedWork
     owner: str
     started_s: float
     uncached_tokens: float
     expected_first_s: float
-    # Prompt tokens of requests that the target had to read before this one.
+    # Uncached prompt tokens queued at the target before this request.
     tokens_ahead: float = 0.0
     has_first_byte: bool = False
     share: ShareTag = UNSHARED
@@ -50,7 +48,7 @@
 
 @dataclass
 class GatewayConnections:
-    """Follow the connections that one gateway keeps to a target."""
+    """Count the connections that one gateway has open to a target."""
 
     count: int = 0
     last_used_s: float = float("-inf")
@@ -58,12 +56,12 @@
 
 @dataclass
 class TargetState:
-    """Follow one target."""
+    """Track the requests, speed, cache and health of one target."""
 
     listed: ListedTarget
     running: dict[str, RunningRequest] = field(default_factory=dict)
-    # Prompt tokens that are still to be read, and how many of the running requests bear
-    # which longest pause: kept up to date, since every placement looks at every target.
+    # Pending prefill tokens and running requests per pause limit, updated incrementally
+    # since every placement reads them for every target.
     backlog_tokens: float = 0.0
     pause_counts: dict[float, int] = field(default_factory=dict)
     prefill: PrefillFit | None = None
@@ -72,62 +70,62 @@
     success: float = 1.0
     consecutive_losses: int = 0
     blocked_until_s: float = 0.0
-    # When an answer was last lost, or a probe turned away.
+    # Time of the last lost answer or rejected probe.
     last_loss_s: float = float("-inf")
     last_response_s: float = 0.0
     cached_parts: OrderedDict[tuple[str, str], int] = field(default_factory=OrderedDict)
     connections: dict[str, GatewayConnections] = field(default_factory=dict)
-    # Which requests it may get, by the version that it runs.
+    # Which requests the target accepts, by the version that it runs.
     admission: Admission = Admission.OPEN
-    # What it said in its answers, whatever any list shows.
+    # State that the target reported in its answers, independent of the target lists.
     report: SelfReport = field(default_factory=SelfReport)
-    # Whether the list of another process shows it as leaving, until the next list here.
+    # A newer list of another process shows the target as leaving; reset by the next own list.
     is_listed_leaving: bool = False
 
     @property
     def is_ready(self) -> bool:
-        """Tell whether the target takes new work at all, as far as is known."""
-        is_told = self.report.is_leaving or self.is_listed_leaving
-        return self.listed.state is ListedState.ready and not is_told
+        """Return whether the target accepts new requests, by the lists and its own reports."""
+        is_leaving = self.report.is_leaving or self.is_listed_leaving
+        return self.listed.state is ListedState.ready and not is_leaving
 
     @property
     def free_slots(self) -> int:
-        """Return how many more requests the target works on at once."""
-        # A target under suspicion gets one request at a time, as a probe.
+        """Return the number of free request slots."""
+        # After a loss a target gets one request at a time, as a probe.
         slots = 1 if self.consecutive_losses else self.listed.slots
         return max(0, slots - len(self.running))
 
     def is_open(self, now_s: float) -> bool:
-        """Tell whether the target may be given work now."""
+        """Return whether the target may be sent a request now."""
         if now_s < self.blocked_until_s or not self.report.may_send(now_s):
             return False
         return len(self.running) < (1 if self.consecutive_losses else self.listed.slots)
 
     def is_ejected(self, now_s: float) -> bool:
-        """Tell whether the target is held off for its failures; it may still get probes."""
+        """Return whether the target is ejected after losses; it may still get probes."""
         return self.consecutive_losses > 0 and now_s < self.blocked_until_s
 
     def is_probing(self) -> bool:
-        """Tell whether a request given since the last loss has no answer yet."""
+        """Return whether a request sent since the last loss is still unanswered."""
         return any(
             not r.has_first_byte and r.started_s > self.last_loss_s for r in self.running.values()
         )
 
     def may_probe(self, now_s: float) -> bool:
-        """Tell whether a target that is held off may be given a probe now."""
+        """Return whether an ejected target may be probed now."""
         is_due = now_s - self.last_loss_s >= _PROBE_AFTER_S
         return self.free_slots > 0 and is_due and self.report.may_send(now_s)
 
     def may_probe_suspect(self, now_s: float) -> bool:
-        """Tell whether the target, doubted for a rest, may be given one request now."""
-        is_tried = any(
-            not r.has_first_byte and self.report.backoff.is_after_last(r.started_s)
+        """Return whether a target that is suspect after a rejection may be probed now."""
+        is_probing = any(
+            not r.has_first_byte and self.report.backoff.is_after_last_rejection(r.started_s)
             for r in self.running.values()
         )
-        return not is_tried and self.report.backoff.may_probe(now_s)
+        return not is_probing and self.report.backoff.may_probe(now_s)
 
     def start(self, run: RunningRequest) -> None:
-        """Count a request that the target was given."""
+        """Add a request that was sent to the target."""
         self.running[run.work.request] = run
         if not run.has_first_byte:
             self.backlog_tokens += run.uncached_tokens
@@ -135,7 +133,7 @@
         self.pause_counts[pause_s] = self.pause_counts.get(pause_s, 0) + 1
 
     def finish(self, request: str) -> RunningRequest | None:
-        """Return a request that is no longer at the target, and count it no more."""
+        """Remove a request that ended and return it, or None if it is unknown."""
         run = self.running.pop(request, None)
         if run is None:
             return None
@@ -149,80 +147,80 @@
         return run
 
     def count_uncached(self, work: RoutedWork) -> float:
-        """Return the prompt tokens of a request that the target does not hold."""
+        """Return the number of prompt tokens that are not in the target's cache."""
         if not self.cached_parts:
             return float(work.prompt_tokens)
-        held = 0
+        cached = 0
         for part in work.parts:
             if (work.model, part.part) not in self.cached_parts:
                 break
-            held += part.tokens
-        return max(0.0, work.prompt_tokens - held)
+            cached += part.tokens
+        return max(0.0, work.prompt_tokens - cached)
 
     def has_memory(self, work: RoutedWork, memory_tokens: int) -> bool:
-        """Tell whether a request fits beside those that run; 0 tokens of memory is no limit."""
+        """Return whether a request fits into memory beside the running ones; 0 means no limit."""
         if not memory_tokens or not self.running:
             return True
         needed = sum(r.work.prompt_tokens + r.work.output_tokens for r in self.running.values())
         return needed + work.prompt_tokens + work.output_tokens <= memory_tokens
 
     def add_cached_parts(self, model: str, parts: Sequence[Part]) -> None:
-        """Note the prompt parts that the target has read."""
+        """Add prompt parts to the cache, evicting the least recently used ones."""
         for part in parts:
             self.cached_parts[(model, part.part)] = part.tokens
             self.cached_parts.move_to_end((model, part.part))
-        while len(self.cached_parts) > _KEPT_PARTS:
+        while len(self.cached_parts) > _MAX_CACHED_PARTS:
             self.cached_parts.popitem(last=False)
 
-    # Connections of gateways
+    # Gateway connections
 
     def has_connection(self, owner: str, now_s: float) -> bool:
-        """Tell whether a gateway seems to have an idle connection to the target."""
-        kept = self.connections.get(owner)
-        if kept is None or now_s - kept.last_used_s > _KEPT_CONNECTION_S:
+        """Return whether a gateway probably has an idle connection to the target."""
+        pool = self.connections.get(owner)
+        if pool is None or now_s - pool.last_used_s > _CONNECTION_IDLE_TIMEOUT_S:
             return False
-        return kept.count > self._count_running(owner)
+        return pool.count > self._count_running(owner)
 
     def _count_running(self, owner: str) -> int:
         return sum(1 for run in self.running.values() if run.owner == owner)
 
     def record_connection(self, owner: str, now_s: float) -> None:
-        """Note that a gateway's new request, counted already, uses a connection."""
-        kept = self.connections.setdefault(owner, GatewayConnections())
+        """Record that a gateway opened or reused a connection for a request in `running`."""
+        pool = self.connections.setdefault(owner, GatewayConnections())
         in_use = self._count_running(owner)
-        if now_s - kept.last_used_s > _KEPT_CONNECTION_S:
-            kept.count = in_use
-        kept.count = max(kept.count, in_use)
-        kept.last_used_s = now_s
+        if now_s - pool.last_used_s > _CONNECTION_IDLE_TIMEOUT_S:
+            pool.count = in_use
+        pool.count = max(pool.count, in_use)
+        pool.last_used_s = now_s
 
     def record_release(self, owner: str, is_kept: bool, now_s: float) -> None:
-        """Note that a gateway's request ended, and whether its connection lives on."""
-        kept = self.connections.get(owner)
-        if kept is None:
+        """Record that a gateway's request ended, and whether its connection stays open."""
+        pool = self.connections.get(owner)
+        if pool is None:
             return
-        kept.last_used_s = now_s
+        pool.last_used_s = now_s
         if not is_kept:
-            kept.count = max(0, kept.count - 1)
+            pool.count = max(0, pool.count - 1)
 
     def record_prefill(self, run: RunningRequest, first_s: float, prior: PrefillSpeed) -> None:
-        """Learn from the first byte of an answer how fast prompts are read."""
+        """Update the prefill speed from the time to first byte of a request."""
         if self.prefill is None:
             self.prefill = PrefillFit(prior)
         self.prefill.add_sample(run.uncached_tokens + run.tokens_ahead, first_s)
 
-    def merge_speed(self, seen: TargetSpeed, prior: PrefillSpeed) -> None:
-        """Take in how fast others saw the target to be."""
-        if seen.reading:
+    def merge_speed(self, observed: TargetSpeed, prior: PrefillSpeed) -> None:
+        """Merge the speed that another process observed."""
+        if observed.reading:
             if self.prefill is None:
                 self.prefill = PrefillFit(prior)
-            self.prefill.merge(PrefillSums(*seen.reading))
-        self.token_s.merge(seen.token_s, seen.token_samples)
-        self.service_s.merge(seen.service_s, seen.service_samples)
+            self.prefill.merge(PrefillSums(*observed.reading))
+        self.token_s.merge(observed.token_s, observed.token_samples)
+        self.service_s.merge(observed.service_s, observed.service_samples)
 
-    # Signs of life
+    # Health
 
     def record_first_byte(self, run: RunningRequest, now_s: float) -> None:
-        """Take the first byte of an answer as a sign of life."""
+        """Record the first byte of an answer."""
         if not run.has_first_byte:
             self.backlog_tokens -= run.uncached_tokens
         run.has_first_byte = True
@@ -230,24 +228,23 @@
         self.report.record_answer(run.started_s)
 
     def record_success(self, now_s: float) -> None:
-        """Take a whole answer as a sign of health."""
+        """Record a complete answer, which ends an ejection."""
         self.success += _HEALTH_EWMA * (1.0 - self.success)
         self.consecutive_losses = 0
         self.blocked_until_s = 0.0
         self.last_response_s = now_s
 
     def record_fault(self, now_s: float) -> None:
-        """Take a fault of the target's own, which it answered with."""
+        """Record an error response of the target."""
         self.success += _HEALTH_EWMA * (0.0 - self.success)
         self.last_response_s = now_s
 
     def record_loss(self, run: RunningRequest, now_s: float) -> None:
-        """Take an answer that broke off or never came, and hold the target off."""
+        """Record an answer that broke off or never came, and eject the target with backoff."""
         is_probe = self.is_ejected(now_s) and run.started_s > self.last_loss_s
         self.last_loss_s = now_s
         if is_probe:
-            # It tells nothing new. Counted, probes would lengthen the hold of a target
-            # that is sound again.
+            # A failed probe must not extend the ejection of a target that has recovered.
             return
         self.success += _HEALTH_EWMA * (0.0 - self.success)
         block_s = min(_MAX_BLOCK_S, _FIRST_BLOCK_S * 2.0**self.consecutive_losses)
@@ -255,25 +252,25 @@
         self.blocked_until_s = max(self.blocked_until_s, now_s + block_s)
 
     def record_rejection(self, now_s: float) -> None:
-        """Take a refusal for want of room."""
+        """Record a rejection for lack of capacity."""
         self.last_response_s = now_s
         if self.is_ejected(now_s):
-            # The next probe must not follow at once.
+            # Delays the next probe.
             self.last_loss_s = now_s
-        self.blocked_until_s = max(self.blocked_until_s, now_s + _TURNED_AWAY_BLOCK_S)
+        self.blocked_until_s = max(self.blocked_until_s, now_s + _REJECTION_BLOCK_S)
 
     def find_overdue(self, now_s: float) -> RunningRequest | None:
-        """Return a request whose first byte the target owes for far longer than expected."""
+        """Return a request whose first byte is long overdue, or None."""
         for run in self.running.values():
             if run.has_first_byte:
                 continue
             waited_s = now_s - run.started_s
-            limit_s = max(_MIN_SILENT_S, _SILENT_FACTOR * run.expected_first_s)
+            limit_s = max(_MIN_OVERDUE_S, _OVERDUE_FACTOR * run.expected_first_s)
             if waited_s > limit_s and now_s - self.last_response_s > limit_s:
                 return run
         return None
 
 
 def clamp_service_s(total_s: float) -> float:
-    """Return a service time that may be divided by."""
+    """Return a service time that is safe as a divisor."""
     return max(total_s, _MIN_SERVICE_S)
