--- a/troutstand/core/crashtracker.py
+++ b/troutstand/core/crashtracker.py
@@ -1,9 +1,8 @@
-"""Find requests that end the targets which run them, and keep them from more targets.
+"""Detect requests that crash targets, and quarantine them.
 
-A request is known by its fingerprint, whoever sends it and however often. A target's end
-speaks against all that ran there, the sound ones too. So it counts only against those that
-had no other end at the time, the second one makes a request run apart from others under
-suspicion, and a single answer clears it.
+Requests are identified by fingerprint. A crash counts against all requests that ran at the
+target, so suspicion rises in steps: repeated crashes isolate a request from other suspects,
+then quarantine it, and a single answer clears it.
 """
 
 from __future__ import annotations
@@ -20,30 +19,28 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-# After so many ends of targets a request runs apart from others under suspicion, and after
-# so many it is refused. With one less, sound requests that shared a target with the same
-# other one twice would be refused; each more costs another target.
-_TRIAL_ENDS = 2
-_QUARANTINE_ENDS = 3
-# When to come back while another request like it is on trial, in seconds.
-_TRIAL_RETRY_S = 1.0
-# How long a request is refused at first, in seconds, twice as long after each further end;
-# and how long a suspicion without any further end is kept (chosen: a repair of the targets'
-# software takes minutes at least, and a caller that is wronged is let in again).
+# Crashes after which a request runs isolated from other suspects, and after which it is
+# refused. A lower quarantine threshold would refuse healthy requests that twice shared a
+# target with a crashing one.
+_ISOLATION_CRASH_COUNT = 2
+_QUARANTINE_CRASH_COUNT = 3
+# Retry-After while another request with the same fingerprint runs isolated.
+_ISOLATION_RETRY_S = 1.0
+# Initial quarantine, doubled with each further crash; also the lifetime of a suspicion.
 _QUARANTINE_S = 600.0
-# An answer that broke off and an address that refuses connections belong together for so
-# long, in seconds: targets are back some seconds after they ended.
-_TOGETHER_S = 2.0
-# Ends of one target that are told this close to each other are one, in seconds.
-_SAME_END_S = 1.0
-# Requests alike that may run or wait while they are on trial; one runs at a time. More would
-# fill the queue before sound ones (chosen, not measured).
+# A broken answer and a refused connection within this time are one crash. Shorter than the
+# restart of a target.
+_CRASH_WINDOW_S = 2.0
+# Reports of one target's crash by several processes differ by less than this.
+_SAME_CRASH_S = 1.0
+# Isolated requests with one fingerprint that may run or wait; one runs at a time. A limit
+# keeps them from filling the queue.
 MAX_ISOLATED = 3
-# The newest ends kept of a request.
-_MAX_ENDS = 8
+# Newest crashes kept per fingerprint.
+_MAX_CRASHES = 8
 _MAX_HISTORIES = 2000
-# The histories that are told to others; only those that bind a decision are.
-_MAX_TOLD = 64
+# Histories shared with other processes.
+_MAX_SHARED = 64
 _MAX_RECENT = 256
 _VERSION_BYTES = 8
 
@@ -52,7 +49,7 @@
 
 
 class Suspicion(Enum):
-    """Say how far a request is held to end targets."""
+    """Say how strongly a request is suspected of crashing targets."""
 
     NONE = "none"
     SUSPECTED = "suspected"
@@ -62,7 +59,7 @@
 
 @dataclass(frozen=True)
 class SuspicionChange:
-    """Tell, for the log, that a request is blamed more than before, or no longer."""
+    """Report for the log that the suspicion of a request rose or was cleared."""
 
     fingerprint: str
     target: str
@@ -72,7 +69,7 @@
 
 @dataclass(frozen=True)
 class Quarantine:
-    """Say why a request is refused, and for how long, in seconds."""
+    """Say why a request is refused, and for how many seconds."""
 
     wait_s: float
     reason: str
@@ -80,8 +77,8 @@
 
 
 @dataclass
-class _End:
-    """Hold one target's end, and since when the request had run; times in seconds."""
+class _Crash:
+    """Hold one crash of a target while a request ran; times in seconds."""
 
     target: str
     at_s: float
@@ -89,8 +86,8 @@
 
 
 @dataclass
-class _Broken:
-    """Hold an answer that broke off at a target of which no more is known yet."""
+class _BrokenAnswer:
+    """Hold an answer that broke off at a target not yet known to have crashed."""
 
     fingerprint: str
     started_s: float
@@ -98,187 +95,193 @@
 
 
 @dataclass
-class _Recent:
-    """Hold what was lately told of one target."""
+class _RecentFailures:
+    """Hold the recent failures of one target."""
 
-    told_s: float
+    updated_s: float
     gone_s: float = float("-inf")
-    broken: list[_Broken] = field(default_factory=list)
+    broken: list[_BrokenAnswer] = field(default_factory=list)
 
 
 class CrashTracker:
-    """Hold which requests ran at targets as those ended, by fingerprint."""
+    """Track target crashes by the fingerprints of the requests that ran there."""
 
     def __init__(self) -> None:
-        self._ends: OrderedDict[str, list[_End]] = OrderedDict()
-        self._recent: dict[str, _Recent] = {}
+        self._crashes: OrderedDict[str, list[_Crash]] = OrderedDict()
+        self._recent: dict[str, _RecentFailures] = {}
         self._changes: list[SuspicionChange] = []
         self._version: str | None = ""
 
-    # What is known
+    # Queries
 
     def get_suspicion(self, fingerprint: str, now_s: float) -> Suspicion:
-        """Return how far a request is blamed."""
-        ends = self._ends.get(fingerprint)
-        if ends is None:
+        """Return the suspicion level of a request."""
+        crashes = self._crashes.get(fingerprint)
+        if crashes is None:
             return Suspicion.NONE
-        if len(ends) >= _QUARANTINE_ENDS:
-            is_bound = now_s < _find_release(ends)
-            return Suspicion.QUARANTINED if is_bound else Suspicion.ISOLATED
-        if now_s - ends[-1].at_s > _QUARANTINE_S:
+        if len(crashes) >= _QUARANTINE_CRASH_COUNT:
+            is_quarantined = now_s < _get_quarantine_end_s(crashes)
+            return Suspicion.QUARANTINED if is_quarantined else Suspicion.ISOLATED
+        if now_s - crashes[-1].at_s > _QUARANTINE_S:
             self._forget(fingerprint)
             return Suspicion.NONE
-        return Suspicion.ISOLATED if len(ends) >= _TRIAL_ENDS else Suspicion.SUSPECTED
+        return Suspicion.ISOLATED if len(crashes) >= _ISOLATION_CRASH_COUNT else Suspicion.SUSPECTED
 
     def is_suspected(self, fingerprint: str) -> bool:
-        """Tell whether a target ended under a request, with no answer to it since."""
-        return fingerprint in self._ends
+        """Return whether a target crashed while running a request, with no answer since."""
+        return fingerprint in self._crashes
 
     def may_run_isolated(self, running: Iterable[str]) -> bool:
-        """Tell whether a request on trial may run beside others, so that an end tells of it."""
-        return not any(fingerprint in self._ends for fingerprint in running)
+        """Return whether an isolated request may run beside others, none of which is suspected."""
+        return not any(fingerprint in self._crashes for fingerprint in running)
 
     def describe_quarantine(self, fingerprint: str, now_s: float) -> Quarantine:
-        """Return why a request is refused that is quarantined, or has others like it on trial."""
-        ends = self._ends[fingerprint]
-        wait_s = max(_TRIAL_RETRY_S, _find_release(ends) - now_s)
-        reason = f"fingerprint={fingerprint} targets_ended={len(ends)}"
-        return Quarantine(wait_s, reason, _describe(fingerprint, ends, now_s))
+        """Describe why a quarantined request, or one too many isolated ones, is refused."""
+        crashes = self._crashes[fingerprint]
+        wait_s = max(_ISOLATION_RETRY_S, _get_quarantine_end_s(crashes) - now_s)
+        reason = f"fingerprint={fingerprint} targets_ended={len(crashes)}"
+        return Quarantine(wait_s, reason, _describe(fingerprint, crashes, now_s))
 
     def drain_changes(self) -> list[SuspicionChange]:
         """Return the changes since the last call."""
         taken, self._changes = self._changes, []
         return taken
 
-    # What happens
+    # Events
 
     def record_broken(self, fingerprint: str, target: str, run_s: float, now_s: float) -> None:
-        """Learn that a target's answer broke off after the request had run for so long."""
-        broken = _Broken(fingerprint, now_s - max(0.0, run_s), now_s)
-        recent = self._find_recent(target, now_s)
-        if now_s - recent.gone_s <= _TOGETHER_S:
-            self._count(broken, target)
+        """Record that a target's answer broke off after the request had run for `run_s`."""
+        broken = _BrokenAnswer(fingerprint, now_s - max(0.0, run_s), now_s)
+        recent = self._get_recent(target, now_s)
+        if now_s - recent.gone_s <= _CRASH_WINDOW_S:
+            self._add_crash(broken, target)
         else:
             recent.broken.append(broken)
 
     def record_target_gone(self, target: str, now_s: float) -> None:
-        """Learn that a target's address refuses connections."""
-        recent = self._find_recent(target, now_s)
+        """Record that a target's address refuses connections."""
+        recent = self._get_recent(target, now_s)
         recent.gone_s = now_s
         for broken in recent.broken:
-            self._count(broken, target)
+            self._add_crash(broken, target)
         recent.broken.clear()
 
     def record_answer(self, fingerprint: str) -> None:
-        """Clear a request to which a target gave an answer of its own."""
-        ends = self._ends.get(fingerprint)
-        if ends is None:
+        """Clear the suspicion of a request that a target answered."""
+        crashes = self._crashes.get(fingerprint)
+        if crashes is None:
             return
-        if len(ends) >= _TRIAL_ENDS:
-            self._changes.append(SuspicionChange(fingerprint, "", len(ends), Suspicion.NONE))
+        if len(crashes) >= _ISOLATION_CRASH_COUNT:
+            self._changes.append(SuspicionChange(fingerprint, "", len(crashes), Suspicion.NONE))
         self._forget(fingerprint)
 
-    def _find_recent(self, target: str, now_s: float) -> _Recent:
+    def _get_recent(self, target: str, now_s: float) -> _RecentFailures:
         if len(self._recent) > _MAX_RECENT:
-            kept = {t: r for t, r in self._recent.items() if now_s - r.told_s <= _TOGETHER_S}
+            kept = {t: r for t, r in self._recent.items() if now_s - r.updated_s <= _CRASH_WINDOW_S}
             self._recent = kept
-        recent = self._recent.setdefault(target, _Recent(now_s))
-        recent.told_s = now_s
-        recent.broken = [b for b in recent.broken if now_s - b.at_s <= _TOGETHER_S]
+        recent = self._recent.setdefault(target, _RecentFailures(now_s))
+        recent.updated_s = now_s
+        recent.broken = [b for b in recent.broken if now_s - b.at_s <= _CRASH_WINDOW_S]
         return recent
 
-    def _count(self, broken: _Broken, target: str) -> None:
-        ends = self._ends.setdefault(broken.fingerprint, [])
-        end = _End(target, broken.at_s, broken.started_s)
-        if any(_overlaps(end, other) for other in ends):
-            # Both runs were under way at once, as where many targets end at once under a
-            # body that many callers ask for: it tells nothing that the other did not.
+    def _add_crash(self, broken: _BrokenAnswer, target: str) -> None:
+        crashes = self._crashes.setdefault(broken.fingerprint, [])
+        crash = _Crash(target, broken.at_s, broken.started_s)
+        if any(_overlaps(crash, other) for other in crashes):
+            # The runs overlapped, so this crash is no independent evidence.
             return
-        # An end may be told after later ones, once its address refuses connections.
-        ends.append(end)
-        ends.sort(key=_get_time)
-        del ends[:-_MAX_ENDS]
-        self._ends.move_to_end(broken.fingerprint)
-        self._bound_size()
+        # Crashes may be reported out of order.
+        crashes.append(crash)
+        crashes.sort(key=_get_time)
+        del crashes[:-_MAX_CRASHES]
+        self._crashes.move_to_end(broken.fingerprint)
+        self._evict_excess()
         self._version = None
-        blame = self.get_suspicion(broken.fingerprint, broken.at_s)
-        self._changes.append(SuspicionChange(broken.fingerprint, target, len(ends), blame))
+        suspicion = self.get_suspicion(broken.fingerprint, broken.at_s)
+        self._changes.append(SuspicionChange(broken.fingerprint, target, len(crashes), suspicion))
 
-    def _bound_size(self) -> None:
-        if len(self._ends) <= _MAX_HISTORIES:
+    def _evict_excess(self) -> None:
+        if len(self._crashes) <= _MAX_HISTORIES:
             return
-        # Those that bind no decision go first, the oldest of them before the others.
-        oldest = next((f for f, ends in self._ends.items() if len(ends) < _TRIAL_ENDS), None)
-        self._forget(oldest if oldest is not None else next(iter(self._ends)))
+        # Evicts the oldest history that affects no decision, if there is one.
+        oldest = next(
+            (f for f, crashes in self._crashes.items() if len(crashes) < _ISOLATION_CRASH_COUNT),
+            None,
+        )
+        self._forget(oldest if oldest is not None else next(iter(self._crashes)))
 
     def _forget(self, fingerprint: str) -> None:
-        del self._ends[fingerprint]
+        del self._crashes[fingerprint]
         self._version = None
 
-    # Between deciders
+    # Exchange between processes
 
     @property
     def version(self) -> str:
-        """Name what others are told: the same wherever the same is known."""
+        """Return a digest of the shared histories, equal in processes with equal histories."""
         if self._version is None:
-            self._version = _name_version(self._list_told())
+            self._version = _compute_version(self._list_shared())
         return self._version
 
-    def _list_told(self) -> list[tuple[str, list[_End]]]:
-        told = [(f, ends) for f, ends in self._ends.items() if len(ends) >= _TRIAL_ENDS]
-        return told[-_MAX_TOLD:]
+    def _list_shared(self) -> list[tuple[str, list[_Crash]]]:
+        shared = [
+            (f, crashes)
+            for f, crashes in self._crashes.items()
+            if len(crashes) >= _ISOLATION_CRASH_COUNT
+        ]
+        return shared[-_MAX_SHARED:]
 
     def list_histories(self, now_s: float) -> list[CrashHistory]:
-        """Return what others must know."""
-        return [_describe(f, ends, now_s) for f, ends in self._list_told()]
+        """Return the histories that other processes need."""
+        return [_describe(f, crashes, now_s) for f, crashes in self._list_shared()]
 
     def merge(self, histories: Iterable[CrashHistory], now_s: float) -> None:
-        """Add what another process knows."""
+        """Merge the histories of another process."""
         for history in histories:
             if not history.crashes:
                 continue
-            known = self._ends.setdefault(history.fingerprint, [])
-            for crash in history.crashes:
-                at_s = now_s - crash.age_s
-                end = _End(crash.target, at_s, started_s=at_s)
-                if not any(_is_same(end, other) for other in known):
-                    known.append(end)
+            known = self._crashes.setdefault(history.fingerprint, [])
+            for reported in history.crashes:
+                at_s = now_s - reported.age_s
+                crash = _Crash(reported.target, at_s, started_s=at_s)
+                if not any(_is_same_crash(crash, other) for other in known):
+                    known.append(crash)
             known.sort(key=_get_time)
-            del known[:-_MAX_ENDS]
-            self._bound_size()
+            del known[:-_MAX_CRASHES]
+            self._evict_excess()
             self._version = None
 
     def replace(self, histories: Iterable[CrashHistory], now_s: float) -> None:
-        """Know what the decider knows, and nothing else."""
-        self._ends.clear()
+        """Replace all histories by those of the scheduler."""
+        self._crashes.clear()
         self._version = None
         self.merge(histories, now_s)
 
 
-def _find_release(ends: list[_End]) -> float:
-    """Return until when a request is refused; with too few ends that is past."""
-    if len(ends) < _QUARANTINE_ENDS:
-        return ends[-1].at_s
-    return ends[-1].at_s + _QUARANTINE_S * 2.0 ** (len(ends) - _QUARANTINE_ENDS)
+def _get_quarantine_end_s(crashes: list[_Crash]) -> float:
+    """Return the end of the quarantine; with too few crashes it is in the past."""
+    if len(crashes) < _QUARANTINE_CRASH_COUNT:
+        return crashes[-1].at_s
+    return crashes[-1].at_s + _QUARANTINE_S * 2.0 ** (len(crashes) - _QUARANTINE_CRASH_COUNT)
 
 
-def _describe(fingerprint: str, ends: list[_End], now_s: float) -> CrashHistory:
-    crashes = [TargetCrash(end.target, now_s - end.at_s) for end in ends]
-    return CrashHistory(fingerprint, crashes)
+def _describe(fingerprint: str, crashes: list[_Crash], now_s: float) -> CrashHistory:
+    target_crashes = [TargetCrash(crash.target, now_s - crash.at_s) for crash in crashes]
+    return CrashHistory(fingerprint, target_crashes)
 
 
-def _overlaps(end: _End, other: _End) -> bool:
-    return end.started_s <= other.at_s and other.started_s <= end.at_s
+def _overlaps(crash: _Crash, other: _Crash) -> bool:
+    return crash.started_s <= other.at_s and other.started_s <= crash.at_s
 
 
-def _is_same(end: _End, other: _End) -> bool:
-    return end.target == other.target and abs(end.at_s - other.at_s) < _SAME_END_S
+def _is_same_crash(crash: _Crash, other: _Crash) -> bool:
+    return crash.target == other.target and abs(crash.at_s - other.at_s) < _SAME_CRASH_S
 
 
-def _name_version(told: list[tuple[str, list[_End]]]) -> str:
-    if not told:
+def _compute_version(shared: list[tuple[str, list[_Crash]]]) -> str:
+    if not shared:
         return ""
     digest = blake2b(digest_size=_VERSION_BYTES)
-    for fingerprint, ends in sorted(told, key=lambda entry: entry[0]):
-        digest.update(f"{fingerprint}:{len(ends)};".encode())
+    for fingerprint, crashes in sorted(shared, key=lambda entry: entry[0]):
+        digest.update(f"{fingerprint}:{len(crashes)};".encode())
     return digest.hexdigest()
--- a/troutstand/core/fingerprint.py
+++ b/troutstand/core/fingerprint.py
@@ -1,20 +1,20 @@
-"""Recognise requests that ask for the same thing."""
+"""Fingerprints that identify equal requests."""
 
 from __future__ import annotations
 
 from hashlib import blake2b
 
-# The odds that any two of a million requests share one by chance are 1 in 37 million.
+# 64 bits make collisions among a million requests negligible.
 _DIGEST_BYTES = 8
 
 
 def compute_fingerprint(workspace: str, method: str, host: str, path: str, body: bytes) -> str:
-    """Return what is the same for all requests of a caller with one path and body.
+    """Return a digest that is equal for a workspace's requests with equal path and body.
 
     Parameters
     ----------
     workspace
-        Whose request it is; empty where the route needs no key.
+        Workspace of the caller; empty if the route needs no key.
     """
     digest = blake2b(digest_size=_DIGEST_BYTES)
     for part in (workspace, method, host, path):
--- a/troutstand/core/incarnation.py
+++ b/troutstand/core/incarnation.py
@@ -1,11 +1,11 @@
-"""Tell one life of a target from another."""
+"""Comparison of target incarnations by their start times."""
 
 from __future__ import annotations
 
 
-def is_same_incarnation(known_ms: int, told_ms: int) -> bool:
-    """Tell whether two times of start may be of one life; 0 is not told.
+def is_same_incarnation(known_ms: int, reported_ms: int) -> bool:
+    """Return whether two start times may belong to one incarnation; 0 means unknown.
 
-    They are compared only: the target's time of day may have jumped.
+    They are only compared for equality, since the target's clock may have jumped.
     """
-    return not known_ms or not told_ms or known_ms == told_ms
+    return not known_ms or not reported_ms or known_ms == reported_ms
--- a/troutstand/core/notices.py
+++ b/troutstand/core/notices.py
@@ -1,7 +1,6 @@
-"""Read what a target's answer says of the target itself.
+"""Parse the response headers in which a target reports its own state.
 
-A `TargetNotice` is all that a target may say of itself. What another header is to mean has
-a field there, is read here, and is kept to in `core.selfreport`.
+Each supported header has a field in `TargetNotice`. `core.selfreport` applies the rules.
 """
 
 from __future__ import annotations
@@ -17,30 +16,30 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-# The product's own names, in lower case.
+# Default header names, in lower case.
 LEAVING_HEADER = "x-target-leaving"
 LIMIT_HEADER = "x-target-limit"
 
-_LEAVING = "1"
+_LEAVING_VALUE = "1"
 _DECIMAL = re.compile(r"\d+(\.\d*)?|\.\d+")
 
 
 class NoticeHeaders(Protocol):
-    """Name the headers in which a target speaks of itself, in lower case."""
+    """Names of the headers that carry target notices, in lower case."""
 
     @property
     def leaving(self) -> str:
-        """Name the header that says that the target takes no new work."""
+        """Return the header by which a target announces that it accepts no new requests."""
         ...
 
     @property
     def limit(self) -> str:
-        """Name the header that says how many requests a second the target takes."""
+        """Return the header that carries the rate limit, in requests per second."""
         ...
 
     @property
     def not_run(self) -> str:
-        """Name the header that says that the target did not run the request; may be empty."""
+        """Return the header that marks a request as not executed; may be empty."""
         ...
 
 
@@ -51,36 +50,36 @@
     target: str = "",
     born_ms: int = 0,
 ) -> TargetNotice:
-    """Read the headers of an answer in which its target speaks of itself.
+    """Parse the notice headers of a target's answer.
 
     Parameters
     ----------
     born_ms
-        Which life of the target was asked, where that is known.
+        Incarnation of the target that the request was sent to; 0 if unknown.
     """
     if status == HTTPStatus.MISDIRECTED_REQUEST:
-        # Another target has the address now, and speaks of itself.
+        # Another target has taken over the address; its headers don't apply to this one.
         return TargetNotice(target, born_ms)
     return TargetNotice(
         target,
         born_ms,
-        is_leaving=(get_header(names.leaving) or "").strip() == _LEAVING,
-        rest_s=_read_rest(status, get_header, names.not_run),
-        limit_per_s=_read_limit(get_header(names.limit)),
+        is_leaving=(get_header(names.leaving) or "").strip() == _LEAVING_VALUE,
+        rest_s=_parse_backoff(status, get_header, names.not_run),
+        limit_per_s=_parse_limit(get_header(names.limit)),
     )
 
 
-def _read_rest(status: int, get_header: Callable[[str], str | None], not_run: str) -> float:
-    """Return the seconds of rest that a refusal asks for."""
+def _parse_backoff(status: int, get_header: Callable[[str], str | None], not_run: str) -> float:
+    """Return the back-off that a 429 or 503 response requests, in seconds."""
     is_not_run = not not_run or get_header(not_run) is not None
-    is_refusal = status == HTTPStatus.SERVICE_UNAVAILABLE or (
+    is_rejection = status == HTTPStatus.SERVICE_UNAVAILABLE or (
         status == HTTPStatus.TOO_MANY_REQUESTS and is_not_run
     )
-    return parse_retry_after(get_header("retry-after")) if is_refusal else 0.0
+    return parse_retry_after(get_header("retry-after")) if is_rejection else 0.0
 
 
-def _read_limit(text: str | None) -> float | None:
-    """Return how many requests a second are taken; what cannot be read says nothing."""
+def _parse_limit(text: str | None) -> float | None:
+    """Return the rate limit in requests per second, or None if missing or malformed."""
     if text is None or not _DECIMAL.fullmatch(text.strip()):
         return None
     limit_per_s = float(text)
--- a/troutstand/core/prefix.py
+++ b/troutstand/core/prefix.py
@@ -1,8 +1,7 @@
-"""Name prompt prefixes by chained block hashes and remember who holds them.
+"""Identify prompt prefixes by chained block hashes and estimate which targets cache them.
 
-The chained hash and the model as a dimension of the key follow the Prompt
-Cache guide (mlxcel, "Automatic Prefix Caching"); block width here doubles with
-the prompt's length, so that a request names at most `MAX_BLOCKS` prefixes.
+The hash covers the model, as in mlxcel's automatic prefix caching. The block width doubles
+with the prompt length, so that a prompt has at most `MAX_BLOCKS` prefixes.
 """
 
 from __future__ import annotations
@@ -19,14 +18,14 @@
 
 @dataclass(frozen=True)
 class Prefixes:
-    """Name the block-aligned prefixes of one prompt, shortest first."""
+    """Hold the hashes of one prompt's block-aligned prefixes, shortest first."""
 
     blocks: list[bytes]
     block_tokens: int
 
 
 def count_tokens(text: str) -> int:
-    """Estimate the tokens of a text."""
+    """Estimate the number of tokens in a text."""
     return max(1, len(text) // CHARACTERS_PER_TOKEN)
 
 
@@ -38,7 +37,7 @@
 
 
 def hash_prefixes(model: str, text: str) -> Prefixes:
-    """Hash each block together with all before it."""
+    """Return the hashes of a prompt's block-aligned prefixes."""
     width = _choose_block_tokens(count_tokens(text))
     step = width * CHARACTERS_PER_TOKEN
     hasher = xxhash.xxh3_64(f"{len(model)}:{model}".encode())
@@ -51,21 +50,21 @@
 
 @dataclass
 class PrefixCache:
-    """Estimate which prefixes a target holds, the least recently used going first."""
+    """Model a target's prefix cache with least recently used eviction."""
 
     capacity_tokens: int
     _blocks: OrderedDict[bytes, int] = field(default_factory=OrderedDict)
     _tokens: int = 0
 
     def match(self, prefixes: Prefixes) -> int:
-        """Return how many prompt tokens the target likely holds."""
+        """Return the number of prompt tokens that the target has probably cached."""
         for index in range(len(prefixes.blocks) - 1, -1, -1):
             if prefixes.blocks[index] in self._blocks:
                 return (index + 1) * prefixes.block_tokens
         return 0
 
     def insert(self, prefixes: Prefixes) -> None:
-        """Note that the target computed these prefixes."""
+        """Add prefixes that the target has computed."""
         for block in prefixes.blocks:
             if block in self._blocks:
                 self._blocks.move_to_end(block)
@@ -77,6 +76,6 @@
             self._tokens -= tokens
 
     def clear(self) -> None:
-        """Forget everything, as after the target's restart."""
+        """Remove all prefixes, as after a restart of the target."""
         self._blocks.clear()
         self._tokens = 0
--- a/troutstand/core/ratelimiter.py
+++ b/troutstand/core/ratelimiter.py
@@ -29,7 +29,7 @@
         Limit over all gateways, in requests per second.
     share
         Share of the limit that this holder may use, 0 to 1.
-    at_s
+    last_refill_s
         Time of the last refill.
     permits
         Requests that may be sent. With many holders the initial value is random between 0
@@ -38,7 +38,7 @@
 
     limit_per_s: float
     share: float
-    at_s: float
+    last_refill_s: float
     permits: float = 0.0
     # Time at which an expiring permit became available.
     _available_since_s: float | None = None
@@ -79,8 +79,8 @@
         return max(_MIN_BURST, _BURST_S * self.rate_per_s)
 
     def _refill(self, now_s: float) -> None:
-        elapsed_s = max(0.0, now_s - self.at_s)
-        self.at_s = max(self.at_s, now_s)
+        elapsed_s = max(0.0, now_s - self.last_refill_s)
+        self.last_refill_s = max(self.last_refill_s, now_s)
         self.permits = min(self._get_burst(), self.permits + elapsed_s * self.rate_per_s)
         if not self.is_widely_shared or self.permits < 1.0:
             return
--- a/troutstand/core/reachability.py
+++ b/troutstand/core/reachability.py
@@ -1,4 +1,4 @@
-"""Find out from failed sends which failure domains cannot reach each other."""
+"""Detect from failed requests which failure domains cannot reach each other."""
 
 from __future__ import annotations
 
@@ -10,25 +10,23 @@
 if TYPE_CHECKING:
     from troutstand.generated.messages import Ended
 
-# Ends of sends that may tell of a way that is cut, and those that tell it is open; a
-# connection that broke may have been dropped at either end.
+# Outcomes that indicate an interrupted or a working link. A broken connection indicates
+# neither, since either end may have closed it.
 _UNREACHED = frozenset({Ending.unsent, Ending.silent})
 _REACHED = frozenset({Ending.whole, Ending.failed, Ending.turned_away})
-# So many targets of a failure domain must fail, with no sign of any other between: one
-# may have crashed (chosen, not measured).
-_MIN_TARGETS = 2
-# Failures count together for so long, in seconds: a target takes 0.2 to 0.5 s to fail.
-_TOGETHER_S = 1.5
-# A failure domain that seems cut off is tried again with one request after so long, in
-# seconds; the request loses the time in which it finds no connection (chosen, not measured).
-_HOLD_S = 1.0
+# A single failed target may have crashed.
+_MIN_FAILED_TARGETS = 2
+# Failures within this window count together.
+_FAILURE_WINDOW_S = 1.5
+# Interval between probes of a blocked link.
+_PROBE_INTERVAL_S = 1.0
 
-# Stands for every other failure domain.
-ANY = "*"
+# Destination that stands for all other failure domains.
+ANY_DOMAIN = "*"
 
 
 class Link(NamedTuple):
-    """Name the way from a gateway's failure domain to a target's, or to all others."""
+    """Identify the network link from a gateway's failure domain to a target's, or to all others."""
 
     source: str
     destination: str
@@ -36,20 +34,20 @@
 
 @dataclass
 class LinkState:
-    """Follow one way; times in seconds."""
+    """Track the failures of one link; times in seconds."""
 
-    failed: dict[str, float] = field(default_factory=dict)
+    failed_at_s: dict[str, float] = field(default_factory=dict)
     blocked_until_s: float = float("-inf")
 
     @property
     def is_blocked(self) -> bool:
-        """Tell whether the way was held off since the last answer."""
+        """Return whether the link was blocked since the last answer."""
         return self.blocked_until_s > float("-inf")
 
 
 @dataclass(frozen=True)
 class LinkChange:
-    """Tell that a way is held off, or open again, for the log."""
+    """Report for the log that a link was blocked or opened."""
 
     link: Link
     is_open: bool
@@ -57,76 +55,75 @@
 
 
 class Reachability:
-    """Hold off targets that gateways of a failure domain cannot reach.
+    """Block links between failure domains that cannot reach each other.
 
-    Without it a failure domain that is cut off finds each target of the others out by
-    itself, at 0.3 s a request: 17 and 23 sends in vain in two cuts of 6 s on a site of 11
-    targets, and 4 with it (counted in the logs).
+    This saves requests from failing at each target of an unreachable domain in turn.
     """
 
     def __init__(self) -> None:
-        self._ways: dict[Link, LinkState] = {}
+        self._links: dict[Link, LinkState] = {}
         self._changes: list[LinkChange] = []
 
     def drain_changes(self) -> list[LinkChange]:
-        """Return the ways held off or opened since the last call."""
+        """Return the links blocked or opened since the last call."""
         taken, self._changes = self._changes, []
         return taken
 
-    def record_ending(self, way: Link, ended: Ended, now_s: float) -> None:
-        """Take what the end of a request tells of its way."""
+    def record_ending(self, link: Link, ended: Ended, now_s: float) -> None:
+        """Update a link from the outcome of a request."""
         if ended.is_target_gone:
-            # A refused connection comes from the target's own host. Taken for a way that is
-            # cut, the ends of five engines closed ways 12 times in 7 s (from the logs).
-            self.record_reachable(way)
+            # The target's host refused the connection, so the link works.
+            self.record_reachable(link)
         elif ended.ending in _UNREACHED:
-            self.record_unreachable(way, ended.target, now_s)
+            self.record_unreachable(link, ended.target, now_s)
         elif ended.ending in _REACHED:
-            self.record_reachable(way)
+            self.record_reachable(link)
 
-    def record_reachable(self, way: Link) -> None:
-        """Take any answer that came by a way as a sign that it is open."""
-        if not self._ways or way.source == way.destination:
+    def record_reachable(self, link: Link) -> None:
+        """Open a link by which an answer came."""
+        if not self._links or link.source == link.destination:
             return
-        for known in (way, _find_any(way)):
-            state = self._ways.pop(known, None)
+        for key in (link, _get_any_link(link)):
+            state = self._links.pop(key, None)
             if state is not None and state.is_blocked:
-                self._changes.append(LinkChange(known, is_open=True))
+                self._changes.append(LinkChange(key, is_open=True))
 
-    def record_unreachable(self, way: Link, target: str, now_s: float) -> None:
-        """Note a target that could not be reached, or from which nothing came."""
-        if way.source == way.destination:
+    def record_unreachable(self, link: Link, target: str, now_s: float) -> None:
+        """Record a target that could not be reached or did not answer."""
+        if link.source == link.destination:
             return
-        for known in (way, _find_any(way)):
-            self._note_failed(known, target, now_s)
-
-    def _note_failed(self, way: Link, target: str, now_s: float) -> None:
-        state = self._ways.setdefault(way, LinkState())
-        state.failed = {t: at_s for t, at_s in state.failed.items() if now_s - at_s < _TOGETHER_S}
-        state.failed[target] = now_s
-        if not state.is_blocked and len(state.failed) < _MIN_TARGETS:
+        for key in (link, _get_any_link(link)):
+            self._record_failed(key, target, now_s)
+
+    def _record_failed(self, link: Link, target: str, now_s: float) -> None:
+        state = self._links.setdefault(link, LinkState())
+        state.failed_at_s = {
+            t: at_s for t, at_s in state.failed_at_s.items() if now_s - at_s < _FAILURE_WINDOW_S
+        }
+        state.failed_at_s[target] = now_s
+        if not state.is_blocked and len(state.failed_at_s) < _MIN_FAILED_TARGETS:
             return
         if not state.is_blocked:
-            self._changes.append(LinkChange(way, is_open=False, targets=tuple(state.failed)))
-        state.blocked_until_s = now_s + _HOLD_S
+            self._changes.append(LinkChange(link, is_open=False, targets=tuple(state.failed_at_s)))
+        state.blocked_until_s = now_s + _PROBE_INTERVAL_S
 
-    def is_open(self, way: Link, now_s: float) -> bool:
-        """Tell whether requests may go a way."""
-        if not self._ways or way.source == way.destination:
+    def is_open(self, link: Link, now_s: float) -> bool:
+        """Return whether requests may be sent over a link."""
+        if not self._links or link.source == link.destination:
             return True
-        states = (self._ways.get(way), self._ways.get(_find_any(way)))
+        states = (self._links.get(link), self._links.get(_get_any_link(link)))
         return all(state is None or now_s >= state.blocked_until_s for state in states)
 
-    def record_sent(self, way: Link, now_s: float) -> None:
-        """Let one request alone try a way that was held off."""
-        if not self._ways or way.source == way.destination:
+    def record_sent(self, link: Link, now_s: float) -> None:
+        """Count a request over a blocked link as its probe."""
+        if not self._links or link.source == link.destination:
             return
-        for known in (way, _find_any(way)):
-            state = self._ways.get(known)
+        for key in (link, _get_any_link(link)):
+            state = self._links.get(key)
             if state is not None and state.is_blocked:
-                state.blocked_until_s = now_s + _HOLD_S
+                state.blocked_until_s = now_s + _PROBE_INTERVAL_S
 
 
-def _find_any(way: Link) -> Link:
-    """Return the way from the same source to all others, which its own cut closes."""
-    return Link(way.source, ANY)
+def _get_any_link(link: Link) -> Link:
+    """Return the link from the same source to all other failure domains."""
+    return Link(link.source, ANY_DOMAIN)
--- a/troutstand/core/trace.py
+++ b/troutstand/core/trace.py
@@ -1,4 +1,4 @@
-"""Record what goes into and comes out of a scheduler, and replay it."""
+"""Record the inputs and outputs of a scheduler, and replay them."""
 
 from __future__ import annotations
 
@@ -27,14 +27,14 @@
 
 
 class TracedSend(msgspec.Struct, frozen=True):
-    """Carry one message that the scheduler sent."""
+    """Hold one message that the scheduler sent."""
 
     process: str
     message: Grant | Shed | Preempt
 
 
 class SchedulerStarted(msgspec.Struct, frozen=True, tag="began"):
-    """Tell how the scheduler was made."""
+    """Record the arguments that the scheduler was created with."""
 
     failure_domain: str
     waiting_limit: int
@@ -43,20 +43,20 @@
 
 
 class TableUpdated(msgspec.Struct, frozen=True, tag="table"):
-    """Carry the table that came into force."""
+    """Record a new version of the table."""
 
     version: int
     table: bytes
 
 
 class LeavingUpdated(msgspec.Struct, frozen=True, tag="leaving"):
-    """Carry the targets that the platform's list calls leaving."""
+    """Record the targets that the platform's list shows as leaving."""
 
     names: list[str]
 
 
 class MessageReceived(msgspec.Struct, frozen=True, tag="message"):
-    """Carry a message of an entry process and what was sent for it."""
+    """Record a message of an entry process and the messages sent in response."""
 
     at_s: float
     process: str
@@ -65,14 +65,14 @@
 
 
 class Ticked(msgspec.Struct, frozen=True, tag="tick"):
-    """Carry what was sent because time passed."""
+    """Record the messages sent by a tick."""
 
     at_s: float
     sends: list[TracedSend]
 
 
 class ProcessEnded(msgspec.Struct, frozen=True, tag="ended"):
-    """Tell that an entry process ended, and what was sent for it."""
+    """Record the end of an entry process and the messages sent in response."""
 
     at_s: float
     process: str
@@ -90,7 +90,7 @@
 
 
 class TracedScheduler(Scheduler):
-    """Record every step; one JSON line each."""
+    """Scheduler that records every step as a JSON line."""
 
     def __init__(
         self, failure_domain: str, waiting_limit: int, seed: int, started_s: float, write: WriteLine
@@ -103,12 +103,12 @@
         self._write(msgspec.json.encode(step) + b"\n")
 
     def update_table(self, table: Table) -> None:
-        """Take a newer version of the table."""
+        """Apply a newer version of the table."""
         self._record(TableUpdated(table.version, table.pack()))
         super().update_table(table)
 
     def update_leaving(self, names: frozenset[str]) -> None:
-        """Take the targets that the platform's list calls leaving."""
+        """Apply the targets that the platform's list shows as leaving."""
         self._record(LeavingUpdated(sorted(names)))
         super().update_leaving(names)
 
@@ -119,33 +119,33 @@
         return sends
 
     def submit(self, process: str, ask: PlacementAsk, now_s: float) -> list[Send]:
-        """Take a request."""
+        """Queue a request."""
         return self._record_message(process, ask, now_s, super().submit(process, ask, now_s))
 
     def withdraw(self, withdraw: Withdraw, now_s: float) -> list[Send]:
-        """Forget a waiting request."""
+        """Remove a waiting request."""
         return self._record_message("", withdraw, now_s, super().withdraw(withdraw, now_s))
 
     def finish(self, finished: Finished, now_s: float) -> list[Send]:
-        """Take the end of a granted request."""
+        """Record the end of a granted request."""
         return self._record_message("", finished, now_s, super().finish(finished, now_s))
 
     def apply_report(self, report: RunningReport, now_s: float) -> list[Send]:
-        """Take over what an entry process runs."""
+        """Apply an entry process's report of its running requests."""
         return self._record_message("", report, now_s, super().apply_report(report, now_s))
 
     def apply_notices(self, notices: TargetNotices, now_s: float) -> list[Send]:
-        """Take what targets said of themselves."""
+        """Apply target notices."""
         return self._record_message("", notices, now_s, super().apply_notices(notices, now_s))
 
     def drop_process(self, process: str, now_s: float) -> list[Send]:
-        """Forget the requests of an entry process."""
+        """Remove the requests of an entry process."""
         sends = super().drop_process(process, now_s)
         self._record(ProcessEnded(now_s, process, _trace_sends(sends)))
         return sends
 
     def tick(self, now_s: float) -> list[Send]:
-        """Let time pass; a tick that changes nothing is not recorded."""
+        """Process timeouts; only ticks that send messages are recorded."""
         sends = super().tick(now_s)
         if sends:
             self._record(Ticked(now_s, _trace_sends(sends)))
@@ -173,7 +173,7 @@
 
 
 class Difference(msgspec.Struct, frozen=True):
-    """Tell where a replay sent something else than was recorded."""
+    """Describe a step at which the replay sent other messages than were recorded."""
 
     line: int
     recorded: list[TracedSend]
@@ -181,10 +181,10 @@
 
 
 def replay_trace(lines: Iterable[bytes]) -> tuple[int, list[Difference]]:
-    """Replay a trace; return how many steps sent something, and the differences."""
+    """Replay a trace; return the number of steps that sent messages, and the differences."""
     scheduler: Scheduler | None = None
     differences: list[Difference] = []
-    compared = 0
+    compared_steps = 0
     for number, line in enumerate(lines, start=1):
         step: TraceStep = msgspec.json.decode(line, type=TraceStep)
         sends: list[Send] = []
@@ -195,7 +195,9 @@
                 )
                 continue
             case _ if scheduler is None:
-                raise ValueError(f"line {number}: the trace does not begin with a beginning")
+                raise ValueError(
+                    f"line {number}: the trace does not start with the scheduler's creation"
+                )
             case TableUpdated():
                 scheduler.update_table(_load_table(step))
                 continue
@@ -208,7 +210,7 @@
                 sends = scheduler.tick(at_s)
             case ProcessEnded(at_s, process):
                 sends = scheduler.drop_process(process, at_s)
-        compared += bool(step.sends)
+        compared_steps += bool(step.sends)
         if _trace_sends(sends) != step.sends:
             differences.append(Difference(number, step.sends, _trace_sends(sends)))
-    return compared, differences
+    return compared_steps, differences
