--- a/troutstand/core/pool.py
+++ b/troutstand/core/pool.py
@@ -207,7 +207,7 @@
         far_s = _FAR_S if far else 0.0
         connect_s = 0.0 if state.has_connection(waiting.owner, now_s) else _CONNECT_S
         held_s = _OCCUPANCY_WEIGHT * outcome.occupancy_s
-        fault_s = _FAULT_PENALTY_S * (1.0 - state.success)
+        fault_s = _FAULT_PENALTY_S * (1.0 - state.success_rate)
         risk_s = _RISK_S * (outcome.first_byte_risk + outcome.stream_risk + outcome.others_risk)
         return outcome.first_s + far_s + connect_s + held_s + fault_s + risk_s
 
--- a/troutstand/core/targetstate.py
+++ b/troutstand/core/targetstate.py
@@ -67,7 +67,7 @@
     prefill: PrefillFit | None = None
     token_s: MovingAverage = field(default_factory=MovingAverage)
     service_s: MovingAverage = field(default_factory=MovingAverage)
-    success: float = 1.0
+    success_rate: float = 1.0
     consecutive_losses: int = 0
     blocked_until_s: float = 0.0
     # Time of the last lost answer or rejected probe.
@@ -229,14 +229,14 @@
 
     def record_success(self, now_s: float) -> None:
         """Record a complete answer, which ends an ejection."""
-        self.success += _HEALTH_EWMA * (1.0 - self.success)
+        self.success_rate += _HEALTH_EWMA * (1.0 - self.success_rate)
         self.consecutive_losses = 0
         self.blocked_until_s = 0.0
         self.last_response_s = now_s
 
     def record_fault(self, now_s: float) -> None:
         """Record an error response of the target."""
-        self.success += _HEALTH_EWMA * (0.0 - self.success)
+        self.success_rate += _HEALTH_EWMA * (0.0 - self.success_rate)
         self.last_response_s = now_s
 
     def record_loss(self, run: RunningRequest, now_s: float) -> None:
@@ -246,7 +246,7 @@
         if is_probe:
             # A failed probe must not extend the ejection of a target that has recovered.
             return
-        self.success += _HEALTH_EWMA * (0.0 - self.success)
+        self.success_rate += _HEALTH_EWMA * (0.0 - self.success_rate)
         block_s = min(_MAX_BLOCK_S, _FIRST_BLOCK_S * 2.0**self.consecutive_losses)
         self.consecutive_losses += 1
         self.blocked_until_s = max(self.blocked_until_s, now_s + block_s)
