--- a/troutstand/testing/models/edit.py
+++ b/troutstand/testing/models/edit.py
@@ -185,13 +185,13 @@
 class ForgetEdits(Edit):
     """Judge a resent edit without a look for it: the guard taken out."""
 
-    def _note(self, edit_id: str) -> None:
+    def _record_decided(self, edit_id: str) -> None:
         self._version += 1
 
 
 class IgnoreBase(Edit):
     """Propose an edit whatever it was edited from: the guard taken out."""
 
-    def _judge(self) -> Action:
+    def _propose_or_answer(self) -> Action:
         self.state = EditState.PROPOSING
         return ProposeVersion(self._version + 1)
