--- a/troutstand/core/dispatch.py
+++ b/troutstand/core/dispatch.py
@@ -331,7 +331,7 @@
             suspicion = self.crashes.get_suspicion(waiting.work.fingerprint, now_s)
             suitable = open_
             if suspicion is Suspicion.ISOLATED:
-                suitable = self._choice.list_trial(pool, waiting.work, open_, now_s)
+                suitable = self._choice.list_isolation_targets(pool, waiting.work, open_, now_s)
                 if not suitable:
                     # Only this request waits for an isolated target.
                     continue
--- a/troutstand/core/siteview.py
+++ b/troutstand/core/siteview.py
@@ -1,4 +1,4 @@
-"""Keep what a decider knows of a site's services and targets, and take over what others know."""
+"""Hold the services and targets of a site, and merge the state that peers report."""
 
 from __future__ import annotations
 
@@ -28,13 +28,13 @@
     )
 
 
-# Targets that the list shows no more of which is kept what they said; the oldest go first.
+# Bounds the reports kept of targets that left the list; the oldest are evicted.
 _MAX_UNLISTED = 1000
 
 
 @dataclass(frozen=True)
-class _Life:
-    """Name one life of a target."""
+class _Incarnation:
+    """Identify one run of a target process."""
 
     target: str
     born_ms: int
@@ -43,15 +43,15 @@
 class SiteView:
     """Hold the services of a site with their targets."""
 
-    def __init__(self, spread: random.Random | None = None) -> None:
+    def __init__(self, rng: random.Random | None = None) -> None:
         self.pools: dict[str, Pool] = {}
         self._rollouts = RolloutView()
-        self._limit_share = LimitShare(rng=spread)
-        # What targets said of themselves that the list shows no more.
-        self._unlisted: OrderedDict[_Life, SelfReport] = OrderedDict()
+        self._limit_share = LimitShare(rng=rng)
+        # Reports of targets that are not in the current list.
+        self._unlisted: OrderedDict[_Incarnation, SelfReport] = OrderedDict()
 
     def update_services(self, table: RouteTable) -> None:
-        """Take what a configuration says of the services."""
+        """Apply the services of a configuration."""
         engines = {name: s.engine for name, s in table.services.items() if s.engine is not None}
         for pool in self.pools.values():
             pool.memory_tokens = 0
@@ -63,60 +63,59 @@
     def update_targets(
         self, listed: Iterable[ListedTarget], now_s: float, is_from_peer: bool = False
     ) -> None:
-        """Take a newer list of targets; what runs at those that are gone is forgotten.
+        """Apply a newer list of targets; drops targets that are missing or have restarted.
 
-        So is all that is known of a target that began anew under its id. A peer's list may
-        lag, so that an earlier life in it is over.
+        A peer's list may lag, so its earlier incarnations of a target are ignored.
         """
         seen: set[tuple[str, str]] = set()
         for entry in listed:
             pool = self.pools.setdefault(entry.service, Pool())
             seen.add((entry.service, entry.target))
-            held = pool.targets.get(entry.target)
-            if held is None:
-                pool.targets[entry.target] = self._begin_target(entry, now_s)
-            elif is_same_incarnation(held.listed.born_ms, entry.born_ms):
-                held.is_listed_leaving = False
-                born_ms = entry.born_ms or held.listed.born_ms
-                was_draining = held.listed.state is ListedState.draining
+            state = pool.targets.get(entry.target)
+            if state is None:
+                pool.targets[entry.target] = self._create_target(entry, now_s)
+            elif is_same_incarnation(state.listed.born_ms, entry.born_ms):
+                state.is_listed_leaving = False
+                born_ms = entry.born_ms or state.listed.born_ms
+                was_draining = state.listed.state is ListedState.draining
                 if was_draining and entry.state is ListedState.ready and not is_from_peer:
-                    # It is back in service under its name.
-                    held.report.is_leaving = False
-                held.listed = msgspec.structs.replace(entry, born_ms=born_ms)
-            elif not (is_from_peer and entry.born_ms < held.listed.born_ms):
+                    # Draining was cancelled.
+                    state.report.is_leaving = False
+                state.listed = msgspec.structs.replace(entry, born_ms=born_ms)
+            elif not (is_from_peer and entry.born_ms < state.listed.born_ms):
                 pool.targets[entry.target] = TargetState(entry, last_response_s=now_s)
         for service, pool in self.pools.items():
             for target in [t for t in pool.targets if (service, t) not in seen]:
-                self._note_unlisted(pool.targets.pop(target))
+                self._keep_report(pool.targets.pop(target))
             self._apply_rollout(service, pool)
 
-    def _begin_target(self, entry: ListedTarget, now_s: float) -> TargetState:
-        """Return what is known of a target that the list did not show."""
-        report = self._unlisted.pop(_Life(entry.target, entry.born_ms), None)
+    def _create_target(self, entry: ListedTarget, now_s: float) -> TargetState:
+        """Create the state of a newly listed target, with its kept report if there is one."""
+        report = self._unlisted.pop(_Incarnation(entry.target, entry.born_ms), None)
         return TargetState(entry, last_response_s=now_s, report=report or SelfReport())
 
-    def _note_unlisted(self, state: TargetState) -> None:
-        """Keep what a target said of itself, for the case that a list lacks it once.
+    def _keep_report(self, state: TargetState) -> None:
+        """Keep a target's report in case it is missing from one list only.
 
-        That it leaves is not kept: a target that is gone and listed again is back.
+        Reports of leaving targets are dropped: a target that is listed again is in service.
         """
         if state.report.is_leaving:
             return
-        self._unlisted[_Life(state.listed.target, state.listed.born_ms)] = state.report
+        self._unlisted[_Incarnation(state.listed.target, state.listed.born_ms)] = state.report
         while len(self._unlisted) > _MAX_UNLISTED:
             self._unlisted.popitem(last=False)
 
-    def set_rate_limit_share(self, part: float, now_s: float) -> None:
-        """Spend another part of the limits that targets name from now on."""
-        if part == self._limit_share.fraction:
+    def set_rate_limit_share(self, fraction: float, now_s: float) -> None:
+        """Set the fraction of the targets' rate limits that is used here."""
+        if fraction == self._limit_share.fraction:
             return
-        self._limit_share.fraction = part
+        self._limit_share.fraction = fraction
         for pool in self.pools.values():
             for state in pool.targets.values():
                 state.report.set_share(self._limit_share, now_s)
 
     def update_rollouts(self, view: RolloutView) -> None:
-        """Take what is known of rollouts."""
+        """Apply a newer view of the rollouts."""
         if view == self._rollouts:
             return
         self._rollouts = view
@@ -129,16 +128,13 @@
         pool.invalidate_typical()
 
     def block_canary(self, service: str) -> None:
-        """Send nothing more to the version on trial of a service."""
+        """Stop sending requests to the canary version of a service."""
         pool = self.pools[service]
         pool.canary.block()
         pool.admit_versions()
 
     def mark_leaving(self, targets: Iterable[str]) -> None:
-        """Give no more work to targets that a newer list than one's own shows as leaving.
-
-        A target never stops leaving, so that the next list cannot contradict it.
-        """
+        """Exclude targets that another process's newer list shows as leaving."""
         leaving = set(targets)
         for pool in self.pools.values():
             for name in leaving & set(pool.targets):
@@ -148,16 +144,16 @@
     def apply_notices(
         self, gateway: str, notices: Iterable[TargetNotice], now_s: float
     ) -> list[TargetNotice]:
-        """Take what targets said of themselves to a gateway; return what is news."""
-        told = {notice.target: notice for notice in notices}
+        """Apply the notices that targets sent to a gateway, and return those with new content."""
+        by_target = {notice.target: notice for notice in notices}
         return [
-            told[name]
+            by_target[name]
             for pool in self.pools.values()
-            for name in told.keys() & pool.targets.keys()
-            if self._note_notice(pool, gateway, told[name], now_s)
+            for name in by_target.keys() & pool.targets.keys()
+            if self._apply_notice(pool, gateway, by_target[name], now_s)
         ]
 
-    def _note_notice(self, pool: Pool, gateway: str, notice: TargetNotice, now_s: float) -> bool:
+    def _apply_notice(self, pool: Pool, gateway: str, notice: TargetNotice, now_s: float) -> bool:
         state = pool.targets[notice.target]
         if not is_same_incarnation(state.listed.born_ms, notice.born_ms):
             return False
@@ -169,7 +165,7 @@
         return is_news
 
     def adopt(self, placed: PlacedWork, owner: str, now_s: float) -> None:
-        """Count a request that another scheduler had placed."""
+        """Take over a running request that another scheduler placed."""
         work = placed.work
         pool = self.pools.setdefault(work.service, Pool())
         state = pool.targets.get(placed.target)
@@ -181,7 +177,7 @@
             work,
             owner,
             now_s - placed.elapsed_s,
-            # A prompt that is not read yet holds up those that come after it.
+            # Only a prompt that is still in prefill delays later requests.
             uncached_tokens=0.0 if placed.has_first else state.count_uncached(work),
             expected_first_s=placed.elapsed_s + pool.estimate_first_byte(state, work),
             has_first_byte=placed.has_first,
@@ -189,7 +185,7 @@
         state.start(run)
 
     def list_holds(self) -> list[Hold]:
-        """Return how long requests keep their slots, by service."""
+        """Return the mean slot time of requests by service."""
         return [
             Hold(service, pool.hold_s)
             for service, pool in self.pools.items()
@@ -197,14 +193,14 @@
         ]
 
     def merge_holds(self, holds: Iterable[Hold]) -> None:
-        """Take over what another scheduler had learnt, where nothing was learnt here."""
+        """Merge mean slot times of another scheduler for services without own samples."""
         for hold in holds:
             pool = self.pools.setdefault(hold.service, Pool())
             if pool.hold_s is None:
                 pool.hold_s = hold.hold_s
 
     def merge_speeds(self, speeds: Iterable[TargetSpeed]) -> None:
-        """Take in how fast a gateway saw the targets to be."""
+        """Merge the target speeds that a gateway observed."""
         for seen in speeds:
             pool = self.pools.setdefault(seen.service, Pool())
             state = pool.targets.get(seen.target)
--- a/troutstand/core/targetchoice.py
+++ b/troutstand/core/targetchoice.py
@@ -1,4 +1,4 @@
-"""Choose the target that a request goes to."""
+"""Choose the target of a request."""
 
 from __future__ import annotations
 
@@ -16,18 +16,16 @@
     from troutstand.core.targetstate import TargetState
     from troutstand.generated.messages import RoutedWork
 
-# Deciders that do not hear of each other choose among targets whose costs differ by less
-# than this at random. The value is that of the way to another failure domain, so that
-# requests stay in their own. Without it 40 deciders send 40 requests of equal costs to one
-# of 16 targets; with it the busiest gets 5 in the median of 200 draws, 11 at most.
-_SPREAD_S = 0.02
-# A target that lost an answer is left out of trials for so long, in seconds: the list still
-# shows those that have ended, and a trial there would show nothing.
-_SETTLED_S = 5.0
+# Random cost added per target, so that schedulers without contact to each other do not
+# all choose the same one. At most the cost of another failure domain, to prefer the local one.
+_COST_JITTER_S = 0.02
+# Time after a lost response before a target runs isolated requests: it may have ended
+# already, which would not implicate the request.
+_MIN_ISOLATION_AGE_S = 5.0
 
 
 def find_link(work: RoutedWork, state: TargetState) -> Link:
-    """Return the way that a request goes to a target."""
+    """Return the link between failure domains that a request uses to reach a target."""
     return Link(work.failure_domain, state.listed.failure_domain)
 
 
@@ -36,36 +34,35 @@
 
     Parameters
     ----------
-    spread
-        Draws among targets that cost about the same; without it the first of equals is
-        taken.
+    rng
+        Randomizes the choice among targets of similar cost; None chooses the cheapest.
     """
 
     def __init__(
-        self, reach: Reachability, spread: random.Random | None, crashes: CrashTracker
+        self, reach: Reachability, rng: random.Random | None, crashes: CrashTracker
     ) -> None:
         self._reach = reach
         self._crashes = crashes
-        self._spread = spread
+        self._rng = rng
 
     def choose(
         self, pool: Pool, waiting: WaitingRequest, open_: list[TargetState], now_s: float
     ) -> TargetState | None:
-        """Return the best of the open targets for a request, or None where none fits."""
-        fitting = self._list_fitting(pool, waiting, open_, now_s)
-        if not fitting:
+        """Return the cheapest eligible open target for a request, or None."""
+        eligible = self._list_eligible(pool, waiting, open_, now_s)
+        if not eligible:
             return None
         return min(
-            fitting, key=lambda state: pool.estimate_cost(state, waiting, now_s) + self._draw()
+            eligible,
+            key=lambda state: pool.estimate_cost(state, waiting, now_s) + self._draw_jitter_s(),
         )
 
-    def list_trial(
+    def list_isolation_targets(
         self, pool: Pool, work: RoutedWork, open_: list[TargetState], now_s: float
     ) -> list[TargetState]:
-        """Return the open targets at which a request on trial for ending targets may run.
+        """Return the open targets for a request that is isolated as suspected of crashes.
 
-        It runs once at a time, and where no other request under suspicion does, so that the
-        target's end tells of this one.
+        One copy runs at a time, apart from other suspects, so that a crash is attributable.
         """
         runs = [run for t in pool.targets.values() for run in t.running.values()]
         if any(run.work.fingerprint == work.fingerprint for run in runs):
@@ -73,18 +70,17 @@
         return [
             t
             for t in open_
-            if (not t.consecutive_losses or now_s - t.last_loss_s > _SETTLED_S)
+            if (not t.consecutive_losses or now_s - t.last_loss_s > _MIN_ISOLATION_AGE_S)
             and self._crashes.may_run_isolated(run.work.fingerprint for run in t.running.values())
         ]
 
     def choose_canary(
         self, pool: Pool, waiting: WaitingRequest, canaries: list[TargetState], now_s: float
     ) -> TargetState | None:
-        """Return the target on trial that a request is sampled for, or None.
+        """Return the canary target for a request that is sampled, or None.
 
-        Only first tries are sampled: one that failed at a target on trial goes to the
-        version in force. All targets on trial get as many, the slow ones too, since they
-        are judged together.
+        Retries go to the stable version. The canary with the fewest samples is chosen,
+        whatever its speed, since all canaries are evaluated together.
         """
         work = waiting.work
         if not canaries or work.attempt > 1:
@@ -93,81 +89,78 @@
             pool.estimate_typical_slot_time(work), now_s
         ):
             return None
-        fitting = [
+        eligible = [
             t
             for t in canaries
-            if self._may_get(pool, waiting, t, now_s) and not t.report.backoff.is_suspect(now_s)
+            if self._is_eligible(pool, waiting, t, now_s) and not t.report.backoff.is_suspect(now_s)
         ]
         samples = pool.canary.sample_counts
-        return min(fitting, key=lambda t: samples.get(t.listed.target, 0), default=None)
+        return min(eligible, key=lambda t: samples.get(t.listed.target, 0), default=None)
 
-    def _list_fitting(
+    def _list_eligible(
         self, pool: Pool, waiting: WaitingRequest, open_: list[TargetState], now_s: float
     ) -> list[TargetState]:
         work = waiting.work
-        fitting = [t for t in open_ if self._may_get(pool, waiting, t, now_s)]
+        eligible = [t for t in open_ if self._is_eligible(pool, waiting, t, now_s)]
         tried = work.excluded
         if tried and any(t.listed.target not in tried for t in pool.list_usable()):
-            fitting = [t for t in fitting if t.listed.target not in tried]
+            eligible = [t for t in eligible if t.listed.target not in tried]
         if now_s < pool.suspects_until_s:
-            fitting = self._prefer_trusted(pool, waiting, fitting, now_s)
-        sound = [t for t in fitting if not t.is_ejected(now_s)]
-        has_probes = len(sound) < len(fitting)
-        if has_probes and not work.is_repeatable and self._has_sound(pool, work, now_s):
-            # A probe may cost it its only try, and a sound target will have a place.
-            return sound
-        return fitting
-
-    def _may_get(
+            eligible = self._filter_suspects(pool, waiting, eligible, now_s)
+        healthy = [t for t in eligible if not t.is_ejected(now_s)]
+        has_probes = len(healthy) < len(eligible)
+        if has_probes and not work.is_repeatable and self._has_healthy(pool, work, now_s):
+            # Requests that cannot be retried are not used as probes.
+            return healthy
+        return eligible
+
+    def _is_eligible(
         self, pool: Pool, waiting: WaitingRequest, state: TargetState, now_s: float
     ) -> bool:
-        """Tell whether a target has room for a request, can be reached and may be asked."""
+        """Return whether a target has memory, is reachable and accepts requests of the gateway."""
         return (
             state.has_memory(waiting.work, pool.memory_tokens)
-            and self._is_reached(waiting.work, state, now_s)
+            and self._is_reachable(waiting.work, state, now_s)
             and state.report.get_block_reason(waiting.owner, now_s) is None
         )
 
-    def _prefer_trusted(
-        self, pool: Pool, waiting: WaitingRequest, fitting: list[TargetState], now_s: float
+    def _filter_suspects(
+        self, pool: Pool, waiting: WaitingRequest, eligible: list[TargetState], now_s: float
     ) -> list[TargetState]:
-        """Leave targets that lately turned requests away to single tries.
+        """Leave out targets that rejected requests recently, or probe them one request at a time.
 
-        A target that turns everything away has nothing running and would be the best choice
-        of all: two of five engines got 147 requests in vain within 5 s, and 2 with this
-        (real processes, `resting.feature`); where they told no time, 289 a day and 166 (mean
-        of four recorded days). A try may cost a request its last attempt, so that one
-        without another to spend waits for a trusted target.
+        A rejecting target is idle and would have the lowest cost. A request on its last
+        attempt waits for a target that is not suspect.
         """
-        trusted = [t for t in fitting if not t.report.backoff.is_suspect(now_s)]
-        if trusted:
-            return trusted
+        unsuspected = [t for t in eligible if not t.report.backoff.is_suspect(now_s)]
+        if unsuspected:
+            return unsuspected
         work = waiting.work
-        if work.attempt >= work.attempts and self._has_trusted(pool, waiting, now_s):
+        if work.attempt >= work.attempts and self._has_unsuspected(pool, waiting, now_s):
             return []
-        return [t for t in fitting if t.may_probe_suspect(now_s)]
+        return [t for t in eligible if t.may_probe_suspect(now_s)]
 
-    def _has_trusted(self, pool: Pool, waiting: WaitingRequest, now_s: float) -> bool:
-        """Tell whether a target without doubt is left to try, be it busy or not."""
+    def _has_unsuspected(self, pool: Pool, waiting: WaitingRequest, now_s: float) -> bool:
+        """Return whether an untried target that is not suspect exists, busy or not."""
         return any(
             not t.report.backoff.is_suspect(now_s)
             and t.report.get_block_reason(waiting.owner, now_s) is None
             and t.listed.target not in waiting.work.excluded
-            and self._is_reached(waiting.work, t, now_s)
+            and self._is_reachable(waiting.work, t, now_s)
             for t in pool.list_usable()
         )
 
-    def _is_reached(self, work: RoutedWork, state: TargetState, now_s: float) -> bool:
+    def _is_reachable(self, work: RoutedWork, state: TargetState, now_s: float) -> bool:
         return self._reach.is_open(find_link(work, state), now_s)
 
-    def _has_sound(self, pool: Pool, work: RoutedWork, now_s: float) -> bool:
-        """Tell whether a target without failures is left to try, be it busy or not."""
+    def _has_healthy(self, pool: Pool, work: RoutedWork, now_s: float) -> bool:
+        """Return whether an untried target without recent losses exists, busy or not."""
         return any(
             not t.consecutive_losses
             and t.listed.target not in work.excluded
-            and self._is_reached(work, t, now_s)
+            and self._is_reachable(work, t, now_s)
             for t in pool.list_usable()
         )
 
-    def _draw(self) -> float:
-        return self._spread.uniform(0.0, _SPREAD_S) if self._spread is not None else 0.0
+    def _draw_jitter_s(self) -> float:
+        return self._rng.uniform(0.0, _COST_JITTER_S) if self._rng is not None else 0.0
