--- a/troutstand/core/domainview.py
+++ b/troutstand/core/domainview.py
@@ -1,4 +1,4 @@
-"""Keep what a scheduler knows of its failure domain: tiers, workspaces, targets and their work."""
+"""Hold the tiers, workspaces, targets and running requests of one failure domain."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class DomainView:
-    """Follow the table and the platform's list for one failure domain."""
+    """Follow the table and the platform's target list for one failure domain."""
 
     def __init__(self, failure_domain: str) -> None:
         self.failure_domain = failure_domain
@@ -27,35 +27,35 @@
         self._leaving: frozenset[str] = frozenset()
 
     def update_table(self, table: Table) -> None:
-        """Take a newer version of the table."""
+        """Apply a newer version of the table."""
         self._tiers = table.select(Tier)
         self._update_workspaces(table.select(Workspace))
         self._update_targets(table.select(Target))
 
     def update_leaving(self, names: frozenset[str]) -> None:
-        """Take the targets that the platform's list calls leaving."""
+        """Apply the set of targets that the platform's list shows as leaving."""
         self._leaving = names
         for name, target in self.targets.items():
             target.update_listed_leaving(name in names)
 
     def _update_workspaces(self, rows: dict[str, Workspace]) -> None:
         for name, row in rows.items():
-            use = self._workspaces.setdefault(name, WorkspaceUse(row))
-            use.row = row
+            usage = self._workspaces.setdefault(name, WorkspaceUse(row))
+            usage.row = row
         for name in set(self._workspaces) - set(rows):
             del self._workspaces[name]
 
     def _update_targets(self, rows: dict[str, Target]) -> None:
         own = {n: row for n, row in rows.items() if row.failure_domain == self.failure_domain}
         for name, row in own.items():
-            known = self.targets.get(name)
-            if known is None:
+            estimate = self.targets.get(name)
+            if estimate is None:
                 self.targets[name] = TargetEstimate(row, name in self._leaving)
             else:
-                known.update_row(row)
+                estimate.update_row(row)
         for name in set(self.targets) - set(own):
             for run in self.targets.pop(name).running.values():
-                self._note_run(run, -1)
+                self._count_run(run, -1)
         self._pools = {}
         for target in self.targets.values():
             for serves in target.row.serves:
@@ -70,13 +70,13 @@
         pool = self._pools.get(ask.serves, [])
         return any(not t.is_leaving and t.row.name not in ask.exclude for t in pool)
 
-    def _measure_rest(self, ask: PlacementAsk, now_s: float) -> float:
-        """Return the seconds until any usable target may be sent to; 0 where one may now."""
+    def _measure_backoff(self, ask: PlacementAsk, now_s: float) -> float:
+        """Return the seconds until the first usable target leaves backoff; 0 if one has."""
         ends = (target.backoff_until_s for target in self._list_usable(ask))
         return max(0.0, min(ends, default=0.0) - now_s)
 
-    def _is_limited(self, ask: PlacementAsk) -> bool:
-        """Tell whether all usable targets name a limit of requests a second."""
+    def _is_rate_limited(self, ask: PlacementAsk) -> bool:
+        """Return whether all usable targets have a rate limit."""
         usable = self._list_usable(ask)
         return bool(usable) and all(target.report.rate_limiter is not None for target in usable)
 
@@ -84,9 +84,9 @@
         tier = self._tiers.get(ask.tier)
         return tier.rank if tier else 0
 
-    def _note_run(self, run: Running, change: int) -> None:
-        """Count a granted request for its workspace and for its target's pools."""
-        use = self._workspaces.get(run.ask.workspace)
-        if use:
-            use.running += change
+    def _count_run(self, run: Running, change: int) -> None:
+        """Add (1) or remove (-1) a granted request for its workspace and its target."""
+        usage = self._workspaces.get(run.ask.workspace)
+        if usage:
+            usage.running += change
         self._load.update(run, change)
--- a/troutstand/core/runningload.py
+++ b/troutstand/core/runningload.py
@@ -1,4 +1,4 @@
-"""Sum up what runs, by tier and by what was asked for."""
+"""Sum the running requests by tier and by the model or service they ask for."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True)
 class QueueKey:
-    """Name one queue: a tier's rank and what is asked for."""
+    """Identify a queue by tier rank and requested model or service."""
 
     rank: int
     serves: str
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True)
 class TierCount:
-    """Tell how many requests of a tier wait and run."""
+    """Count the waiting and running requests of a tier."""
 
     tier: str
     waiting: int
@@ -29,26 +29,26 @@
 @dataclass
 class _PoolLoad:
     count: int = 0
-    ends_s: float = 0.0
+    end_sum_s: float = 0.0
 
 
 @dataclass
 class RunningLoad:
-    """Follow the granted requests without a look at each."""
+    """Maintain sums over the granted requests, so that estimates need not visit each."""
 
     _loads: dict[QueueKey, _PoolLoad] = field(default_factory=dict)
 
     def update(self, run: Running, change: int) -> None:
-        """Count a request in (1) or out (-1) for every pool of its target."""
+        """Add (1) or remove (-1) a request for every model or service of its target."""
         for serves in run.pools:
             load = self._loads.setdefault(QueueKey(run.rank, serves), _PoolLoad())
             load.count += change
-            load.ends_s += change * (run.granted_s + run.expected_s)
+            load.end_sum_s += change * (run.granted_s + run.expected_s)
 
     def estimate_remaining_s(self, serves: str, rank: int, now_s: float) -> float:
-        """Return the run time left of the same and higher tiers, all together."""
+        """Return the summed remaining run time of the same and higher tiers."""
         return sum(
-            max(0.0, load.ends_s - load.count * now_s)
+            max(0.0, load.end_sum_s - load.count * now_s)
             for key, load in self._loads.items()
             if key.serves == serves and key.rank <= rank
         )
--- a/troutstand/core/scheduler.py
+++ b/troutstand/core/scheduler.py
@@ -100,7 +100,7 @@
         target = self.targets.get(finished.target)
         run = target.finish(finished, now_s) if target else None
         if run:
-            self._note_run(run, -1)
+            self._count_run(run, -1)
         sends = self._record_crash(finished, now_s)
         return sends + self._place(now_s)
 
@@ -134,7 +134,7 @@
                 item.ask, report.process, self._find_rank(item.ask), now_s, 0, 0.0
             )
             target.start(RequestId(item.ask.request), run, _get_prefixes(item.ask))
-            self._note_run(run, 1)
+            self._count_run(run, 1)
         self.crashes.merge(report.crashes, now_s)
         return self._apply_notices(report.notices, now_s)
 
@@ -161,7 +161,7 @@
         for target in self.targets.values():
             lost = [key for key, run in target.running.items() if run.process == process]
             for key in lost:
-                self._note_run(target.running.pop(key), -1)
+                self._count_run(target.running.pop(key), -1)
         return self._place(now_s)
 
     def tick(self, now_s: float) -> list[Send]:
@@ -199,7 +199,7 @@
             return self._shed_quarantined(waiting, now_s)
         if not self._has_usable(ask):
             return self._shed(waiting, ResultCode.NO_TARGET, MIN_RETRY_S, "no usable target")
-        backoff_s = self._measure_rest(ask, now_s)
+        backoff_s = self._measure_backoff(ask, now_s)
         if now_s + backoff_s > waiting.latest_start_s:
             return self._shed(
                 waiting,
@@ -337,7 +337,7 @@
             expected_s,
         )
         target.start(waiting.request, run, waiting.prefixes)
-        self._note_run(run, 1)
+        self._count_run(run, 1)
         cached_tokens = waiting.ask.prompt_tokens - choice.uncached_tokens
         reason = f"finish_s={choice.finish_s:.3f} first_token_s={choice.first_token_s:.3f}"
         waited_ms = to_ms(now_s - waiting.submitted_s)
--- a/troutstand/core/shedding.py
+++ b/troutstand/core/shedding.py
@@ -94,7 +94,7 @@
 
     def _estimate_limit_wait_s(self, waiting: WaitingRequest, now_s: float) -> float:
         """Estimate the wait for rate limits; 0 unless all usable targets announce one."""
-        if not self._is_limited(waiting.ask):
+        if not self._is_rate_limited(waiting.ask):
             return 0.0
         usable = self._list_usable(waiting.ask)
         free = sum(target.count_free(now_s) for target in usable)
@@ -112,7 +112,7 @@
         run = self._find_preemptible(waiting, now_s)
         if run:
             return [self._preempt(run, now_s)]
-        if code is ResultCode.SHED_DEADLINE and self._is_limited(waiting.ask):
+        if code is ResultCode.SHED_DEADLINE and self._is_rate_limited(waiting.ask):
             code = ResultCode.TARGETS_LIMITED
         lower = sorted(self._list_lower_waiting(waiting), key=lambda item: -item.rank)
         if code is ResultCode.QUEUE_FULL and lower:
