--- a/troutstand/routing/handling.py
+++ b/troutstand/routing/callhandler.py
@@ -14,10 +14,10 @@
 from troutstand.generated.messages import Declined, Ended, Ending, Placed
 from troutstand.routing.calleranswer import CallerAnswer
 from troutstand.routing.calls import resume_after
-from troutstand.routing.exchange import ExchangeError
+from troutstand.routing.eventstreams import EventBoundaryTracker, EventSplitter
+from troutstand.routing.httpclient import ExchangeError
 from troutstand.routing.refusals import make_refusal
 from troutstand.routing.relay import SendError, Sent, filter_headers
-from troutstand.routing.streams import EventEnd, EventSplitter
 from troutstand.util.clock import MIN_SUSPEND_S, SuspendWatch, read_clock_s
 
 if TYPE_CHECKING:
@@ -36,7 +36,7 @@
 _KEPT_BACK = frozenset({"date", "server"})
 
 
-class Handling:
+class CallHandler:
     """Hold one request's attempts and outcome."""
 
     def __init__(
@@ -100,7 +100,7 @@
                     return self._refuse_failed(error)
 
     async def _place(self) -> Placed | Declined:
-        work = self._call.describe_work(
+        work = self._call.create_work(
             read_clock_s(),
             self._arrivals + 1,
             self._excluded,
@@ -273,7 +273,7 @@
 
     async def _stream(self, sent: Sent) -> tuple[web.StreamResponse, Ending]:
         splitter = self._start_splitter()
-        end = EventEnd()
+        end = EventBoundaryTracker()
         began = False
         chunks = sent.connection.receive_chunks()
         try:
--- a/troutstand/routing/calls.py
+++ b/troutstand/routing/calls.py
@@ -20,7 +20,7 @@
 
     from troutstand.generated.routing import TierOrder
     from troutstand.routing.dialect import HeaderNames
-    from troutstand.routing.exchange import Headers
+    from troutstand.routing.httpclient import Headers
 
 _MAX_PARTS = 64
 _MILLISECONDS = 1000.0
@@ -87,7 +87,7 @@
             return 1.0
         return float(self.tokens.total) if self.tokens else workspace.uncounted_tokens
 
-    def describe_work(
+    def create_work(
         self,
         now_s: float,
         attempt: int,
@@ -161,7 +161,7 @@
     return number if number > 0 else None
 
 
-def read_call(
+def parse_call(
     table: RouteTable,
     names: HeaderNames,
     headers: Mapping[str, str],
--- a/troutstand/routing/control.py
+++ b/troutstand/routing/control.py
@@ -20,7 +20,7 @@
     from troutstand.generated.messages import RolloutOrder
     from troutstand.generated.settings import Address
     from troutstand.routing.dialect import Dialect
-    from troutstand.routing.line import DecidedLine
+    from troutstand.routing.lineclient import LineClient
     from troutstand.routing.rolloutline import RolloutLine
     from troutstand.util.events import EventBus
 
@@ -43,7 +43,7 @@
     """Serve the operators' address of a keeper."""
 
     def __init__(
-        self, line: DecidedLine, rollouts: RolloutLine, dialect: Dialect, events: EventBus
+        self, line: LineClient, rollouts: RolloutLine, dialect: Dialect, events: EventBus
     ) -> None:
         self._line = line
         self._rollouts = rollouts
--- a/troutstand/routing/streams.py
+++ b/troutstand/routing/eventstreams.py
@@ -78,7 +78,7 @@
     return True
 
 
-class EventEnd:
+class EventBoundaryTracker:
     """Tell whether a stream stands between two events."""
 
     def __init__(self) -> None:
--- a/troutstand/routing/gateway.py
+++ b/troutstand/routing/gateway.py
@@ -11,10 +11,10 @@
 from troutstand.core.codes import ResultCode
 from troutstand.core.errors import TroutstandError
 from troutstand.generated.messages import ProcessState
-from troutstand.routing.calls import identify, make_outgoing, read_call
-from troutstand.routing.exchange import ConnectionPool
+from troutstand.routing.callhandler import CallHandler
+from troutstand.routing.calls import identify, make_outgoing, parse_call
 from troutstand.routing.follower import Follower
-from troutstand.routing.handling import Handling
+from troutstand.routing.httpclient import ConnectionPool
 from troutstand.routing.metrics import GatewayMetrics
 from troutstand.routing.node import RoutingNode, parse_address
 from troutstand.routing.placement import Placement
@@ -214,7 +214,7 @@
         path = request.raw_path
         limit = table.configuration.limits.body_bytes
         try:
-            call = read_call(table, names, request.headers, path, self.settings.tier_order)
+            call = parse_call(table, names, request.headers, path, self.settings.tier_order)
             body = await _read_body(request, limit)
             call = identify(call, request.method, request.headers.get("host", ""), path, body)
         except TroutstandError as error:
@@ -225,7 +225,7 @@
             return make_refusal(error)
         headers = [(k.decode("latin-1"), v.decode("latin-1")) for k, v in request.raw_headers]
         outgoing = make_outgoing(call, names, request.method, path, headers, body)
-        return await Handling(self, request, call, outgoing).run()
+        return await CallHandler(self, request, call, outgoing).run()
 
 
 def _make_request(message, payload, protocol, writer, task):  # type: ignore[no-untyped-def]
--- a/troutstand/routing/exchange.py
+++ b/troutstand/routing/httpclient.py
@@ -63,7 +63,7 @@
 
 
 @dataclass
-class AnswerHead:
+class ResponseHead:
     """Hold an answer's status and headers; names are in lower case."""
 
     status: int
@@ -97,7 +97,7 @@
 
     def _reset_answer(self) -> None:
         self._headers: Headers = []
-        self._head: AnswerHead | None = None
+        self._head: ResponseHead | None = None
         self._chunks: deque[bytes] = deque()
         self._waiting_bytes = 0
         self._is_whole = False
@@ -180,7 +180,7 @@
         index: dict[str, str] = {}
         for name, value in headers:
             index.setdefault(name, value)
-        self._head = AnswerHead(status, headers, index)
+        self._head = ResponseHead(status, headers, index)
         is_chunked = "chunked" in index.get("transfer-encoding", "").lower()
         self._is_framed = "content-length" in index or is_chunked or status in _BODILESS
         self._learn_idle_limit(index.get("keep-alive", ""))
@@ -226,7 +226,7 @@
         if len(body) >= _PAUSE_BYTES:
             self._transport.write(body)
 
-    async def receive_head(self) -> AnswerHead:
+    async def receive_head(self) -> ResponseHead:
         """Return the answer's head.
 
         Raises
--- a/troutstand/routing/keeper.py
+++ b/troutstand/routing/keeper.py
@@ -44,7 +44,7 @@
 from troutstand.generated.routing import RoutingRole
 from troutstand.routing.control import Control
 from troutstand.routing.journal import MendingJournal
-from troutstand.routing.line import DecidedLine
+from troutstand.routing.lineclient import LineClient
 from troutstand.routing.node import RoutingNode, name_routing_process, parse_address
 from troutstand.routing.replacement import Replacement
 from troutstand.routing.rolloutline import RolloutLine, decode_book
@@ -128,8 +128,8 @@
         self._unreadable: set[ProcessId] = set()
         self._control = Control(self.line, self.rollouts, dialect, self.node.events)
 
-    def _make_line(self, line: Line) -> DecidedLine:
-        return DecidedLine(
+    def _make_line(self, line: Line) -> LineClient:
+        return LineClient(
             self.ask_keeper,
             self.registers,
             self.learn,
--- a/troutstand/routing/line.py
+++ b/troutstand/routing/lineclient.py
@@ -37,7 +37,7 @@
 _PAUSE_S = 0.03
 
 
-class DecidedLine:
+class LineClient:
     """Drive reads and replacements from one keeper.
 
     Parameters
--- a/troutstand/routing/relay.py
+++ b/troutstand/routing/relay.py
@@ -13,17 +13,17 @@
 
 from troutstand.core.notices import parse_notice
 from troutstand.generated.messages import Ending, TargetNotice
-from troutstand.routing.exchange import ExchangeError, write_head
+from troutstand.routing.httpclient import ExchangeError, write_head
 from troutstand.util.clock import read_clock_s
 
 if TYPE_CHECKING:
     from troutstand.core.selfreport import BlockReason
     from troutstand.generated.messages import Placed
     from troutstand.routing.dialect import HeaderNames
-    from troutstand.routing.exchange import (
-        AnswerHead,
+    from troutstand.routing.httpclient import (
         ConnectionPool,
         Headers,
+        ResponseHead,
         TargetConnection,
     )
 
@@ -126,7 +126,7 @@
 
     placed: Placed
     connection: TargetConnection
-    head: AnswerHead
+    head: ResponseHead
     started_s: float
     first_s: float
     chunks: list[bytes] = field(default_factory=list)
@@ -235,7 +235,7 @@
             headers.append(("Content-Length", str(len(outgoing.body))))
         return write_head(outgoing.method, outgoing.path, headers)
 
-    def _check_head(self, outgoing: Outgoing, head: AnswerHead, notice: TargetNotice) -> None:
+    def _check_head(self, outgoing: Outgoing, head: ResponseHead, notice: TargetNotice) -> None:
         echo = head.get(self._names.request)
         if echo and echo != outgoing.request:
             raise SendError(Ending.broken, f"the answer is for request {echo!r}", head.status)
--- a/troutstand/routing/rolloutline.py
+++ b/troutstand/routing/rolloutline.py
@@ -14,7 +14,7 @@
 
     from troutstand.core.rollouts.state import RolloutRequest
     from troutstand.generated.messages import RolloutAdvance, VersionsSeen
-    from troutstand.routing.line import DecidedLine
+    from troutstand.routing.lineclient import LineClient
     from troutstand.util.events import EventBus
 
     Change = Callable[[RolloutBook, int], RolloutBook]
@@ -28,7 +28,7 @@
 class RolloutLine:
     """Drive changes of the rollout book from one keeper."""
 
-    def __init__(self, line: DecidedLine, events: EventBus) -> None:
+    def __init__(self, line: LineClient, events: EventBus) -> None:
         self._line = line
         self._events = events
 
--- a/troutstand/routing/targetlist.py
+++ b/troutstand/routing/targetlist.py
@@ -17,7 +17,7 @@
     diff_target_lists,
 )
 from troutstand.generated.messages import ListedState
-from troutstand.routing.exchange import ConnectionPool, ExchangeError, write_head
+from troutstand.routing.httpclient import ConnectionPool, ExchangeError, write_head
 from troutstand.routing.targetpages import SoundEntries, SpoiledEntry, TargetPage
 from troutstand.util.clock import read_clock_s
 
--- a/troutstand/tests/steps/relay.py
+++ b/troutstand/tests/steps/relay.py
@@ -15,9 +15,9 @@
 from troutstand.generated.messages import Placed, TargetNotice
 from troutstand.routing.calls import Call, make_outgoing
 from troutstand.routing.dialect import HeaderNames
-from troutstand.routing.exchange import ConnectionPool
+from troutstand.routing.eventstreams import EventBoundaryTracker, EventSplitter
+from troutstand.routing.httpclient import ConnectionPool
 from troutstand.routing.relay import Outgoing, Sender, SendError
-from troutstand.routing.streams import EventEnd, EventSplitter
 from troutstand.testing.scripted import Close, Received, Reply, ScriptedTarget
 from troutstand.tests.steps.configuration import make_route
 
@@ -291,7 +291,7 @@
 
 @when('a stream ends with "{ending}"')
 def end_stream(context: Context, ending: str) -> None:
-    context.end = EventEnd()
+    context.end = EventBoundaryTracker()
     for byte in b"data: a" + ending.encode().decode("unicode_escape").encode():
         context.end.feed(bytes([byte]))
 
--- a/troutstand/tests/steps/takeover.py
+++ b/troutstand/tests/steps/takeover.py
@@ -26,7 +26,7 @@
     PlacedWork,
     RoutedWork,
 )
-from troutstand.routing.calls import read_call
+from troutstand.routing.calls import parse_call
 from troutstand.routing.dialect import Dialect
 from troutstand.tests.steps.configuration import make_configuration, make_route
 
@@ -226,13 +226,13 @@
     table = RouteTable(make_configuration([route]))
     names = Dialect().headers
     headers = {"host": route.host, names.request: "one"}
-    call = read_call(table, names, headers, "/")
+    call = parse_call(table, names, headers, "/")
     context.call = dataclasses.replace(call, arrived_s=_NOW_S - age_s)
 
 
 @when("it asks for a second target")
 def ask_second(context: Context) -> None:
-    context.work = context.call.describe_work(_NOW_S, 2, ["t0"], False, "north")
+    context.work = context.call.create_work(_NOW_S, 2, ["t0"], False, "north")
 
 
 @then("it tells that {spent_s:g} s are spent")
