--- a/troutstand/core/answerstream.py
+++ b/troutstand/core/answerstream.py
@@ -79,7 +79,9 @@
         """
         self._received_bytes += len(data)
         if self._received_bytes > self.limit_bytes:
-            raise TroutstandError(ResultCode.ANSWER_TOO_LARGE, f"over {self.limit_bytes} bytes")
+            raise TroutstandError(
+                ResultCode.ANSWER_TOO_LARGE, f"answer exceeds {self.limit_bytes} bytes"
+            )
         *blocks, self._buffer = (self._buffer + data).split(_EVENT_END)
         events: list[AnswerEvent] = []
         for block in blocks:
@@ -102,7 +104,9 @@
             return []
         if number > self.last_number + 1:
             if len(self._reordered) >= MAX_REORDERED_EVENTS:
-                raise TroutstandError(ResultCode.ANSWER_CUT, f"event {self.last_number + 1} lost")
+                raise TroutstandError(
+                    ResultCode.ANSWER_CUT, f"event {self.last_number + 1} missing"
+                )
             self._reordered[number] = block
             return []
         events = self._parse_event(block)
@@ -117,7 +121,7 @@
             self.is_done = True
             return []
         if self._id_field not in block:
-            raise TroutstandError(ResultCode.ANSWER_FOREIGN, "an event carries another id")
+            raise TroutstandError(ResultCode.ANSWER_FOREIGN, "event has a different answer id")
         is_usage = _USAGE in block
         if not is_usage:
             self.token_events += 1
@@ -128,7 +132,7 @@
 def _parse_number(id_line: bytes) -> int:
     digits = id_line[len(_ID) :]
     if not digits.isdigit():
-        raise TroutstandError(ResultCode.TARGET_FAULT, "an event's number is malformed")
+        raise TroutstandError(ResultCode.TARGET_FAULT, "event id is not a number")
     return int(digits)
 
 
--- a/troutstand/core/crashtracker.py
+++ b/troutstand/core/crashtracker.py
@@ -87,7 +87,7 @@
 
 @dataclass
 class _BrokenAnswer:
-    """Hold an answer that broke off at a target not yet known to have crashed."""
+    """Hold an answer that broke off at a target not yet crashes to have crashed."""
 
     fingerprint: str
     started_s: float
@@ -144,8 +144,8 @@
 
     def drain_changes(self) -> list[SuspicionChange]:
         """Return the changes since the last call."""
-        taken, self._changes = self._changes, []
-        return taken
+        changes, self._changes = self._changes, []
+        return changes
 
     # Events
 
@@ -177,8 +177,10 @@
 
     def _get_recent(self, target: str, now_s: float) -> _RecentFailures:
         if len(self._recent) > _MAX_RECENT:
-            kept = {t: r for t, r in self._recent.items() if now_s - r.updated_s <= _CRASH_WINDOW_S}
-            self._recent = kept
+            active = {
+                t: r for t, r in self._recent.items() if now_s - r.updated_s <= _CRASH_WINDOW_S
+            }
+            self._recent = active
         recent = self._recent.setdefault(target, _RecentFailures(now_s))
         recent.updated_s = now_s
         recent.broken = [b for b in recent.broken if now_s - b.at_s <= _CRASH_WINDOW_S]
@@ -240,14 +242,14 @@
         for history in histories:
             if not history.crashes:
                 continue
-            known = self._crashes.setdefault(history.fingerprint, [])
+            crashes = self._crashes.setdefault(history.fingerprint, [])
             for reported in history.crashes:
                 at_s = now_s - reported.age_s
                 crash = _Crash(reported.target, at_s, started_s=at_s)
-                if not any(_is_same_crash(crash, other) for other in known):
-                    known.append(crash)
-            known.sort(key=_get_time)
-            del known[:-_MAX_CRASHES]
+                if not any(_is_same_crash(crash, other) for other in crashes):
+                    crashes.append(crash)
+            crashes.sort(key=_get_time)
+            del crashes[:-_MAX_CRASHES]
             self._evict_excess()
             self._version = None
 
--- a/troutstand/core/reachability.py
+++ b/troutstand/core/reachability.py
@@ -66,8 +66,8 @@
 
     def drain_changes(self) -> list[LinkChange]:
         """Return the links blocked or opened since the last call."""
-        taken, self._changes = self._changes, []
-        return taken
+        changes, self._changes = self._changes, []
+        return changes
 
     def record_ending(self, link: Link, ended: Ended, now_s: float) -> None:
         """Update a link from the outcome of a request."""
--- a/troutstand/core/targetstate.py
+++ b/troutstand/core/targetstate.py
@@ -118,11 +118,11 @@
 
     def may_probe_suspect(self, now_s: float) -> bool:
         """Return whether a target that is suspect after a rejection may be probed now."""
-        is_probing = any(
+        has_probe = any(
             not r.has_first_byte and self.report.backoff.is_after_last_rejection(r.started_s)
             for r in self.running.values()
         )
-        return not is_probing and self.report.backoff.may_probe(now_s)
+        return not has_probe and self.report.backoff.may_probe(now_s)
 
     def start(self, run: RunningRequest) -> None:
         """Add a request that was sent to the target."""
@@ -176,31 +176,31 @@
 
     def has_connection(self, owner: str, now_s: float) -> bool:
         """Return whether a gateway probably has an idle connection to the target."""
-        pool = self.connections.get(owner)
-        if pool is None or now_s - pool.last_used_s > _CONNECTION_IDLE_TIMEOUT_S:
+        entry = self.connections.get(owner)
+        if entry is None or now_s - entry.last_used_s > _CONNECTION_IDLE_TIMEOUT_S:
             return False
-        return pool.count > self._count_running(owner)
+        return entry.count > self._count_running(owner)
 
     def _count_running(self, owner: str) -> int:
         return sum(1 for run in self.running.values() if run.owner == owner)
 
     def record_connection(self, owner: str, now_s: float) -> None:
         """Record that a gateway opened or reused a connection for a request in `running`."""
-        pool = self.connections.setdefault(owner, GatewayConnections())
+        entry = self.connections.setdefault(owner, GatewayConnections())
         in_use = self._count_running(owner)
-        if now_s - pool.last_used_s > _CONNECTION_IDLE_TIMEOUT_S:
-            pool.count = in_use
-        pool.count = max(pool.count, in_use)
-        pool.last_used_s = now_s
+        if now_s - entry.last_used_s > _CONNECTION_IDLE_TIMEOUT_S:
+            entry.count = in_use
+        entry.count = max(entry.count, in_use)
+        entry.last_used_s = now_s
 
     def record_release(self, owner: str, is_kept: bool, now_s: float) -> None:
         """Record that a gateway's request ended, and whether its connection stays open."""
-        pool = self.connections.get(owner)
-        if pool is None:
+        entry = self.connections.get(owner)
+        if entry is None:
             return
-        pool.last_used_s = now_s
+        entry.last_used_s = now_s
         if not is_kept:
-            pool.count = max(0, pool.count - 1)
+            entry.count = max(0, entry.count - 1)
 
     def record_prefill(self, run: RunningRequest, first_s: float, prior: PrefillSpeed) -> None:
         """Update the prefill speed from the time to first byte of a request."""
