--- a/troutstand/routing/calleranswer.py
+++ b/troutstand/routing/callerresponse.py
@@ -13,7 +13,7 @@
     from multidict import CIMultiDict
 
 
-class CallerAnswer:
+class CallerResponse:
     """Write an answer piece by piece.
 
     Parameters
@@ -28,14 +28,14 @@
         self._begun_s = 0.0
 
     @property
-    def has_begun(self) -> bool:
+    def has_started(self) -> bool:
         """Tell whether the caller got the head, so that only its body may follow."""
         return self._response is not None
 
     @property
-    def begun_s(self) -> float | None:
+    def started_s(self) -> float | None:
         """Return when the head was written, in seconds on the steady clock."""
-        return self._begun_s if self.has_begun else None
+        return self._begun_s if self.has_started else None
 
     @property
     def response(self) -> web.StreamResponse:
@@ -43,7 +43,7 @@
         assert self._response is not None
         return self._response
 
-    async def begin(self, status: int, headers: CIMultiDict[str], is_last: bool) -> None:
+    async def start(self, status: int, headers: CIMultiDict[str], closes_connection: bool) -> None:
         """Write the head.
 
         Parameters
@@ -54,7 +54,7 @@
         assert self._response is None, "an answer has one head"
         response = web.StreamResponse(status=status, headers=headers)
         response.enable_chunked_encoding()
-        if is_last:
+        if closes_connection:
             response.force_close()
         await response.prepare(self._request)
         self._response = response
@@ -68,7 +68,7 @@
         """Write the end, from which the caller takes the answer to be whole."""
         await self.response.write_eof()
 
-    def break_off(self) -> web.StreamResponse:
+    def abort(self) -> web.StreamResponse:
         """Close the connection without the end, so that the caller sees the break."""
         abort_response(self._request)
         return self.response
--- a/troutstand/routing/callhandler.py
+++ b/troutstand/routing/callhandler.py
@@ -12,18 +12,18 @@
 from troutstand.core.errors import TroutstandError
 from troutstand.generated.configuration import RouteKind
 from troutstand.generated.messages import Declined, Ended, Ending, Placed
-from troutstand.routing.calleranswer import CallerAnswer
+from troutstand.routing.callerresponse import CallerResponse
 from troutstand.routing.calls import resume_after
+from troutstand.routing.errorresponse import make_error_response
 from troutstand.routing.eventstreams import EventBoundaryTracker, EventSplitter
 from troutstand.routing.httpclient import ExchangeError
-from troutstand.routing.refusals import make_refusal
-from troutstand.routing.relay import SendError, Sent, filter_headers
+from troutstand.routing.relay import SendError, SentRequest, filter_headers
 from troutstand.util.clock import MIN_SUSPEND_S, SuspendWatch, read_clock_s
 
 if TYPE_CHECKING:
     from troutstand.routing.calls import Call
     from troutstand.routing.gateway import Gateway
-    from troutstand.routing.relay import Outgoing
+    from troutstand.routing.relay import OutgoingRequest
 
 _EVENT_STREAM = "text/event-stream"
 _FIRST_SERVER_FAULT = 500
@@ -40,11 +40,11 @@
     """Hold one request's attempts and outcome."""
 
     def __init__(
-        self, gateway: Gateway, request: web.BaseRequest, call: Call, outgoing: Outgoing
+        self, gateway: Gateway, request: web.BaseRequest, call: Call, outgoing: OutgoingRequest
     ) -> None:
         self._gateway = gateway
         self._request = request
-        self._answer = CallerAnswer(request)
+        self._answer = CallerResponse(request)
         self._call = call
         self._outgoing = outgoing
         self._arrivals = 0
@@ -106,7 +106,7 @@
             self._excluded,
             not self._has_placed,
             self._gateway.settings.failure_domain,
-            self._answer.has_begun,
+            self._answer.has_started,
         )
         answer = await self._gateway.placement.place(work)
         if isinstance(answer, Placed):
@@ -152,12 +152,12 @@
             is_target_gone=is_gone,
             fingerprint=self._call.fingerprint if ending is Ending.broken else "",
         )
-        self._gateway.placement.end(ended)
+        self._gateway.placement.finish(ended)
         self._gateway.metrics.endings.labels(ending.value).inc()
 
     async def _exchange(self, placed: Placed) -> tuple[web.StreamResponse, Ending]:
         sent = await self._send(placed)
-        if self._answer.has_begun and not self._fits_begun(sent):
+        if self._answer.has_started and not self._fits_begun(sent):
             # Passed on, this answer would stand with a head of its own amid the events that
             # the caller reads: 1 of 13 broken attempts where engines fail a third of their
             # requests (counted in the logs). The stream goes on at another target or is
@@ -167,7 +167,7 @@
         if _is_stream(sent):
             return await self._stream(sent)
         self._note_first(sent, sent.first_s)
-        body = await self._gateway.sender.read_whole(sent)
+        body = await self._gateway.sender.read_body(sent)
         response = self._make_whole(sent, body)
         if sent.head.status >= _FIRST_SERVER_FAULT:
             if self._can_try_another():
@@ -176,7 +176,7 @@
             return self._finish(response, sent), Ending.failed
         return self._finish(response, sent), Ending.whole
 
-    def _fits_begun(self, sent: Sent) -> bool:
+    def _fits_begun(self, sent: SentRequest) -> bool:
         """Tell whether an answer may follow what the caller has of the one that has begun."""
         return _is_stream(sent) and sent.head.status == self._answer.response.status
 
@@ -191,12 +191,12 @@
         Once an answer has begun, only events behind one whose id is known can: all else
         would come twice.
         """
-        if not self._answer.has_begun:
+        if not self._answer.has_started:
             return True
         splitter = self._splitter
         return splitter is not None and splitter.can_resume and bool(splitter.last_id)
 
-    async def _send(self, placed: Placed) -> Sent:
+    async def _send(self, placed: Placed) -> SentRequest:
         outgoing = self._outgoing
         if self._splitter is not None:
             outgoing = resume_after(outgoing, self._gateway.dialect.headers, self._splitter.last_id)
@@ -216,14 +216,14 @@
             objective_s *= _STREAM_SILENCE
         return max(_MIN_SILENCE_S, objective_s)
 
-    def _note_first(self, sent: Sent, first_s: float) -> None:
+    def _note_first(self, sent: SentRequest, first_s: float) -> None:
         self._first_s = first_s
         is_measured = self._suspends.peek_suspended_s() < MIN_SUSPEND_S
         told_s = first_s if is_measured else -1.0
-        self._gateway.placement.note_first(self._call.request, told_s)
+        self._gateway.placement.record_first_byte(self._call.request, told_s)
 
     def _note_failure(self, placed: Placed, error: SendError) -> None:
-        if error.has_arrived:
+        if error.may_have_arrived:
             self._arrivals += 1
         else:
             self._unsent += 1
@@ -248,9 +248,9 @@
         )
 
     def _should_try_again(self, error: SendError) -> bool:
-        if self._answer.has_begun and not (self._can_repeat and self._can_be_continued):
+        if self._answer.has_started and not (self._can_repeat and self._can_be_continued):
             return False
-        if not error.has_arrived:
+        if not error.may_have_arrived:
             return self._unsent <= _MAX_UNSENT
         if not error.may_have_run and not self._may_have_run:
             return self._arrivals < self._call.route.attempts
@@ -258,20 +258,20 @@
 
     # Answers
 
-    def _make_headers(self, sent: Sent) -> CIMultiDict[str]:
+    def _make_headers(self, sent: SentRequest) -> CIMultiDict[str]:
         kept = filter_headers(sent.head.headers, _KEPT_BACK)
         return CIMultiDict(kept)
 
-    def _make_whole(self, sent: Sent, body: bytes) -> web.Response:
+    def _make_whole(self, sent: SentRequest, body: bytes) -> web.Response:
         return web.Response(status=sent.head.status, headers=self._make_headers(sent), body=body)
 
-    def _finish(self, response: web.StreamResponse, sent: Sent) -> web.StreamResponse:
+    def _finish(self, response: web.StreamResponse, sent: SentRequest) -> web.StreamResponse:
         first_s = read_clock_s() - self._call.arrived_s
         self._gateway.metrics.first_s.labels(*self._labels()).observe(first_s)
         self._emit("request_answered", ResultCode.OK, response.status, target=sent.placed.target)
         return response
 
-    async def _stream(self, sent: Sent) -> tuple[web.StreamResponse, Ending]:
+    async def _stream(self, sent: SentRequest) -> tuple[web.StreamResponse, Ending]:
         splitter = self._start_splitter()
         end = EventBoundaryTracker()
         began = False
@@ -334,21 +334,21 @@
         except TimeoutError as error:
             raise SendError(Ending.silent, "the stream stands still") from error
 
-    async def _begin(self, sent: Sent) -> None:
+    async def _begin(self, sent: SentRequest) -> None:
         """Write the head, once; a target that goes on with the stream adds none."""
-        if self._answer.has_begun:
+        if self._answer.has_started:
             return
         headers = self._make_headers(sent)
-        await self._answer.begin(sent.head.status, headers, self._gateway.is_stopping)
+        await self._answer.start(sent.head.status, headers, self._gateway.is_stopping)
 
-    async def _write(self, sent: Sent, data: bytes) -> None:
+    async def _write(self, sent: SentRequest, data: bytes) -> None:
         await self._begin(sent)
         await self._answer.write(data)
 
     # Refusals
 
     def _refuse_declined(self, declined: Declined) -> web.StreamResponse:
-        if self._answer.has_begun:
+        if self._answer.has_started:
             return self._break_off(ResultCode(declined.code), declined.reason)
         if self._last_fault is not None:
             self._emit("request_answered", ResultCode.TARGET_FAULT, self._last_fault.status)
@@ -362,7 +362,7 @@
         return self._refuse(ResultCode(declined.code), declined.reason, declined.retry_after_s)
 
     def _refuse_failed(self, error: SendError) -> web.StreamResponse:
-        if self._answer.has_begun:
+        if self._answer.has_started:
             return self._break_off(ResultCode.ANSWER_CUT, error.detail)
         if self._last_fault is not None:
             self._emit("request_answered", ResultCode.TARGET_FAULT, self._last_fault.status)
@@ -372,7 +372,7 @@
         return self._refuse(ResultCode.ANSWER_CUT, error.detail, None)
 
     def _refuse_late(self) -> web.StreamResponse:
-        if self._answer.has_begun:
+        if self._answer.has_started:
             return self._break_off(ResultCode.TARGET_TIMEOUT, "the request's time is up")
         if self._has_placed:
             # Its target may work on it now.
@@ -384,19 +384,19 @@
         self, code: ResultCode, detail: str, retry_after_s: float | None
     ) -> web.StreamResponse:
         run = Run.UNKNOWN if self._may_have_run else Run.NO
-        response = make_refusal(TroutstandError(code, detail, run, retry_after_s))
+        response = make_error_response(TroutstandError(code, detail, run, retry_after_s))
         self._emit("request_refused", code, response.status, detail=detail)
         return response
 
     def _break_off(self, code: ResultCode, detail: str) -> web.StreamResponse:
         """End a stream that cannot be completed."""
-        response = self._answer.break_off()
+        response = self._answer.abort()
         self._emit("stream_broken_off", code, response.status, detail=detail)
         return response
 
     def _measure_begun(self) -> float | None:
         """Return the milliseconds until the caller got the beginning of its answer."""
-        begun_s = self._answer.begun_s
+        begun_s = self._answer.started_s
         return None if begun_s is None else (begun_s - self._call.arrived_s) * 1000.0
 
     def _emit(self, name: str, code: ResultCode, status: int, **fields: str) -> None:
@@ -425,6 +425,6 @@
         )
 
 
-def _is_stream(sent: Sent) -> bool:
+def _is_stream(sent: SentRequest) -> bool:
     content_type = (sent.head.get("content-type") or "").lower()
     return sent.is_success and sent.head.has_body and content_type.startswith(_EVENT_STREAM)
--- a/troutstand/routing/calls.py
+++ b/troutstand/routing/calls.py
@@ -12,7 +12,7 @@
 from troutstand.core.tiers import DEFAULT_TIER_ORDER, TierRanks, rank_tiers
 from troutstand.generated.configuration import Route, RoutedWorkspace, RouteKind
 from troutstand.generated.messages import Part, RoutedWork
-from troutstand.routing.relay import Outgoing, filter_headers
+from troutstand.routing.relay import OutgoingRequest, filter_headers
 from troutstand.util.clock import read_clock_s
 
 if TYPE_CHECKING:
@@ -216,22 +216,22 @@
 
 def make_outgoing(
     call: Call, names: HeaderNames, method: str, path: str, headers: Headers, body: bytes
-) -> Outgoing:
+) -> OutgoingRequest:
     """Write a caller's request as it goes to targets."""
     replaced = {names.key, names.workspace, names.deadline_ms, names.expected_target}
     passed = filter_headers(headers, names.reserved | replaced)
     if call.workspace is not None:
         passed.append((names.workspace, call.workspace.name))
-    return Outgoing(call.request, method, path, passed, body, call.is_repeatable)
+    return OutgoingRequest(call.request, method, path, passed, body, call.is_repeatable)
 
 
-def resume_after(outgoing: Outgoing, names: HeaderNames, last_id: str) -> Outgoing:
+def resume_after(outgoing: OutgoingRequest, names: HeaderNames, last_id: str) -> OutgoingRequest:
     """Return the request that goes on behind an event."""
     if not last_id:
         return outgoing
     headers = [(k, v) for k, v in outgoing.headers if k.lower() != names.resume]
     headers.append((names.resume, last_id))
-    return Outgoing(
+    return OutgoingRequest(
         outgoing.request,
         outgoing.method,
         outgoing.path,
--- a/troutstand/routing/control.py
+++ b/troutstand/routing/control.py
@@ -10,7 +10,7 @@
 from troutstand.core.errors import TroutstandError, flatten_group
 from troutstand.core.rollouts.state import find_rollout
 from troutstand.generated.messages import StoredConfiguration
-from troutstand.routing.dialect import ROLLOUTS_PATH, encode_own_rollout
+from troutstand.routing.dialect import ROLLOUTS_PATH, encode_default_rollout
 from troutstand.util.listening import listen
 
 if TYPE_CHECKING:
@@ -136,7 +136,7 @@
         return await self._tell_rollout(request, self._dialect.encode_rollout)
 
     async def _show_rollout(self, request: web.Request) -> web.Response:
-        return await self._tell_rollout(request, encode_own_rollout)
+        return await self._tell_rollout(request, encode_default_rollout)
 
     async def _tell_rollout(
         self, request: web.Request, encode: Callable[[RolloutOrder], bytes]
--- a/troutstand/routing/decisions.py
+++ b/troutstand/routing/decisionlog.py
@@ -14,7 +14,7 @@
     from troutstand.core.reachability import LinkChange
     from troutstand.util.events import EventBus
 
-ALONE = "alone"
+LOCAL = "alone"
 SCHEDULER = "scheduler"
 _MILLISECONDS = 1000.0
 
@@ -41,7 +41,7 @@
             )
 
 
-def emit_way_changes(events: EventBus, changes: list[LinkChange], decider: str) -> None:
+def emit_link_changes(events: EventBus, changes: list[LinkChange], decider: str) -> None:
     """Write one line for each way between failure domains that is held off or open again."""
     for change in changes:
         events.emit(
@@ -53,7 +53,7 @@
         )
 
 
-def emit_blame_changes(events: EventBus, changes: list[SuspicionChange], decider: str) -> None:
+def emit_suspicion_changes(events: EventBus, changes: list[SuspicionChange], decider: str) -> None:
     """Write one line for each request that is blamed for a target's end, or cleared."""
     for change in changes:
         events.emit(
--- a/troutstand/routing/dialect.py
+++ b/troutstand/routing/dialect.py
@@ -59,10 +59,10 @@
     reserved: frozenset[str] = frozenset({"x-target-order"})
 
 
-OWN_PAGE = PageForm(entries="targets", next_token="next", target="target")
+DEFAULT_PAGE = PageForm(entries="targets", next_token="next", target="target")
 
 
-def decode_own_configuration(data: bytes) -> Configuration:
+def decode_default_configuration(data: bytes) -> Configuration:
     """Decode and check a configuration in the product's own form.
 
     Raises
@@ -80,12 +80,12 @@
     return configuration
 
 
-def decode_own_targets(data: bytes) -> TargetPage:
+def decode_default_targets(data: bytes) -> TargetPage:
     """Decode a page of the list of targets in the product's own form."""
-    return decode_page(data, OWN_PAGE, ListedTarget, lambda target: target)
+    return decode_page(data, DEFAULT_PAGE, ListedTarget, lambda target: target)
 
 
-def name_own_targets_path(token: str | None) -> str:
+def get_default_targets_path(token: str | None) -> str:
     """Return the path of a page of the list of targets."""
     return "/targets" if token is None else f"/targets?page={quote(token)}"
 
@@ -110,7 +110,7 @@
         raise TroutstandError(ResultCode.FIELD_INVALID, f"rollout: {error}") from error
 
 
-def decode_own_rollout(data: bytes) -> RolloutRequest:
+def decode_default_rollout(data: bytes) -> RolloutRequest:
     """Decode an operator's order in the product's own form.
 
     Raises
@@ -141,15 +141,15 @@
     return ask
 
 
-def show_state(order: RolloutOrder) -> str:
+def get_public_state(order: RolloutOrder) -> str:
     """Return an order's state as operators see it: a switch is still in progress."""
     is_switching = order.state is RolloutState.switching
     return RolloutState.in_progress.value if is_switching else order.state.value
 
 
-def encode_own_rollout(order: RolloutOrder) -> bytes:
+def encode_default_rollout(order: RolloutOrder) -> bytes:
     """Write how far an order has come in the product's own form."""
-    told = {"state": show_state(order), "version": order.version, "detail": order.detail}
+    told = {"state": get_public_state(order), "version": order.version, "detail": order.detail}
     return msgspec.json.encode(told)
 
 
@@ -163,8 +163,8 @@
     configuration_read: tuple[str, str] = ("GET", "/configuration")
     rollout_begin: tuple[str, str] = ("POST", ROLLOUTS_PATH)
     rollout_read: tuple[str, str] = ("GET", f"{ROLLOUTS_PATH}/{{service}}")
-    decode_configuration: Callable[[bytes], Configuration] = decode_own_configuration
-    name_targets_path: Callable[[str | None], str] = name_own_targets_path
-    decode_targets: Callable[[bytes], TargetPage] = decode_own_targets
-    decode_rollout: Callable[[bytes], RolloutRequest] = decode_own_rollout
-    encode_rollout: Callable[[RolloutOrder], bytes] = encode_own_rollout
+    decode_configuration: Callable[[bytes], Configuration] = decode_default_configuration
+    get_targets_path: Callable[[str | None], str] = get_default_targets_path
+    decode_targets: Callable[[bytes], TargetPage] = decode_default_targets
+    decode_rollout: Callable[[bytes], RolloutRequest] = decode_default_rollout
+    encode_rollout: Callable[[RolloutOrder], bytes] = encode_default_rollout
--- a/troutstand/routing/refusals.py
+++ b/troutstand/routing/errorresponse.py
@@ -12,7 +12,7 @@
     from troutstand.core.errors import TroutstandError
 
 
-def make_refusal(error: TroutstandError) -> web.Response:
+def make_error_response(error: TroutstandError) -> web.Response:
     """Write a refusal with its number, whether it ran, and when to come back."""
     meaning = describe_code(error.code)
     body = {"code": int(error.code), "error": error.detail, "run": error.run.value}
--- a/troutstand/routing/gateway.py
+++ b/troutstand/routing/gateway.py
@@ -13,12 +13,12 @@
 from troutstand.generated.messages import ProcessState
 from troutstand.routing.callhandler import CallHandler
 from troutstand.routing.calls import identify, make_outgoing, parse_call
+from troutstand.routing.errorresponse import make_error_response
 from troutstand.routing.follower import Follower
 from troutstand.routing.httpclient import ConnectionPool
 from troutstand.routing.metrics import GatewayMetrics
 from troutstand.routing.node import RoutingNode, parse_address
 from troutstand.routing.placement import Placement
-from troutstand.routing.refusals import make_refusal
 from troutstand.routing.relay import Sender
 from troutstand.routing.targetlist import TargetList
 from troutstand.util.clock import read_clock_s
@@ -71,7 +71,7 @@
 
     def _use_table(self, table: RouteTable) -> None:
         self.metrics.version.set(table.version)
-        self.placement.use_table(table)
+        self.placement.update_table(table)
 
     async def start(self) -> None:
         """Open the addresses and find the others."""
@@ -115,7 +115,7 @@
     @property
     def is_ready(self) -> bool:
         """Tell whether new callers should come here."""
-        knows = self.follower.table is not None and self.placement.is_served
+        knows = self.follower.table is not None and self.placement.can_place
         return knows and self.follower.is_fresh and not self.is_stopping
 
     async def _tell_readiness(self, request: web.Request) -> web.Response:
@@ -207,7 +207,7 @@
         table = self.follower.table
         if table is None:
             detail = "no configuration is known yet"
-            return make_refusal(
+            return make_error_response(
                 TroutstandError(ResultCode.STARTING, detail, retry_after_s=_STARTING_RETRY_S)
             )
         names = self.dialect.headers
@@ -222,7 +222,7 @@
             self.node.events.emit(
                 "request_refused", key, code=error.code, detail=error.detail, version=table.version
             )
-            return make_refusal(error)
+            return make_error_response(error)
         headers = [(k.decode("latin-1"), v.decode("latin-1")) for k, v in request.raw_headers]
         outgoing = make_outgoing(call, names, request.method, path, headers, body)
         return await CallHandler(self, request, call, outgoing).run()
--- a/troutstand/routing/heartbeats.py
+++ b/troutstand/routing/heartbeats.py
@@ -11,14 +11,14 @@
 from troutstand.generated.routing import RoutingRole
 from troutstand.routing.node import parse_address
 from troutstand.routing.schedulerwatch import (
-    BEAT_S,
-    SILENT_S,
-    STALL_S,
-    Alone,
+    HEARTBEAT_TIMEOUT_S,
+    MIN_STALL_S,
+    RESPONSE_TIMEOUT_S,
     Decider,
-    Watch,
+    LocalDecider,
+    SchedulerHealth,
     choose_decider,
-    space_standbys,
+    update_standby_periods,
 )
 from troutstand.util.clock import read_clock_s
 
@@ -34,17 +34,17 @@
 class Listener(Protocol):
     """Take what heartbeats show."""
 
-    def switch(self, before: Decider) -> None:
+    def switch_decider(self, before: Decider) -> None:
         """Ask the present decider from now on, no longer the one before."""
 
-    def describe_attachment(self, is_attached: bool, is_first: bool) -> AttachAsk:
+    def make_heartbeat(self, is_attached: bool, is_first: bool) -> AttachAsk:
         """Write a heartbeat; the first one to a scheduler tells all that it must know."""
         ...
 
-    def hear(self, process: ProcessId, reply: Attached) -> None:
+    def handle_reply(self, process: ProcessId, reply: Attached) -> None:
         """Take a scheduler's answer to a heartbeat."""
 
-    def ask_again(self, process: ProcessId) -> None:
+    def resend_requests(self, process: ProcessId) -> None:
         """Repeat what a scheduler's earlier life was asked."""
 
 
@@ -52,10 +52,10 @@
     """Watch the schedulers for one gateway, which asks one of them or decides alone."""
 
     def __init__(self, node: RoutingNode, listener: Listener) -> None:
-        self.current: Decider = Alone.ALONE
+        self.current: Decider = LocalDecider.LOCAL
         self._node = node
         self._listener = listener
-        self._watches: dict[ProcessId, Watch] = {}
+        self._watches: dict[ProcessId, SchedulerHealth] = {}
         self._judge_now = asyncio.Event()
         node.on_refused = self._note_refused
 
@@ -72,7 +72,7 @@
             decider = choose_decider(self._watches, self.current, last_s)
             if decider != self.current:
                 self._change(decider)
-            space_standbys(self._watches, self.current, last_s)
+            update_standby_periods(self._watches, self.current, last_s)
             # Running out of time is how the pause usually ends.
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(_WATCH_S):
@@ -80,16 +80,16 @@
             self._judge_now.clear()
 
     def _forgive_stall(self, stall_s: float) -> None:
-        if stall_s > STALL_S:
+        if stall_s > MIN_STALL_S:
             for watch in self._watches.values():
-                watch.forgive(stall_s)
+                watch.discount_stall(stall_s)
 
     def _change(self, decider: Decider) -> None:
-        if not isinstance(self.current, Alone) and not self._is_live(self.current):
+        if not isinstance(self.current, LocalDecider) and not self._is_live(self.current):
             # A standby may be silent for longer than one's own scheduler; this one was left.
             self.miss(self.current)
         before, self.current = self.current, decider
-        self._listener.switch(before)
+        self._listener.switch_decider(before)
 
     # Which schedulers there are
 
@@ -97,7 +97,7 @@
         known = self._list_schedulers()
         for process in known:
             if process not in self._watches:
-                self._watches[process] = Watch()
+                self._watches[process] = SchedulerHealth()
                 self._node.spawn(self._follow(process), f"watch {process}")
         for process in set(self._watches) - set(known):
             del self._watches[process]
@@ -126,7 +126,7 @@
         """Take a scheduler for lost until it answers again."""
         watch = self._watches.get(process)
         if watch is not None:
-            watch.miss()
+            watch.mark_lost()
             self._judge_now.set()
 
     def _note_refused(self, process: ProcessId) -> None:
@@ -143,13 +143,13 @@
         """Note that a scheduler was asked something."""
         watch = self._watches.get(process)
         if watch is not None:
-            watch.note_asked(read_clock_s())
+            watch.record_request(read_clock_s())
 
     def note_answered(self, process: ProcessId) -> None:
         """Take a scheduler's answer as a sign of life."""
         watch = self._watches.get(process)
         if watch is not None:
-            watch.note_answered()
+            watch.record_response()
 
     def probe(self, process: ProcessId) -> None:
         """Send a heartbeat at once: the scheduler may be silent, or only its queue long."""
@@ -163,7 +163,7 @@
         """Tell a scheduler at once that it is asked from now on."""
         watch = self._watches[process]
         watch.is_attached = False
-        watch.note_moved(read_clock_s())
+        watch.record_switch(read_clock_s())
         self._node.spawn(self._beat(process, watch), f"attach {process}")
         watch.wake.set()
 
@@ -182,35 +182,37 @@
                     await watch.wake.wait()
             watch.wake.clear()
 
-    async def _beat(self, process: ProcessId, watch: Watch) -> None:
+    async def _beat(self, process: ProcessId, watch: SchedulerHealth) -> None:
         is_attached = self.current == process
         is_first = is_attached and not watch.is_attached
-        ask = self._listener.describe_attachment(is_attached, is_first)
+        ask = self._listener.make_heartbeat(is_attached, is_first)
         watch.is_attached = is_attached
         if is_attached:
-            watch.note_asked(read_clock_s())
+            watch.record_request(read_clock_s())
         try:
-            reply = await self._node.ask(process, ask, SILENT_S if is_attached else BEAT_S)
+            reply = await self._node.ask(
+                process, ask, RESPONSE_TIMEOUT_S if is_attached else HEARTBEAT_TIMEOUT_S
+            )
         except TroutstandError:
             # One heartbeat that is lost on the way does not end it with one's own scheduler.
             watch.live_since_s = float("inf")
             if not is_attached:
-                watch.miss()
+                watch.mark_lost()
             if is_first:
                 watch.is_attached = False
             return
         if isinstance(reply, Attached):
             self._hear(process, watch, reply)
 
-    def _hear(self, process: ProcessId, watch: Watch, reply: Attached) -> None:
+    def _hear(self, process: ProcessId, watch: SchedulerHealth, reply: Attached) -> None:
         if watch.incarnation != reply.incarnation:
             # A new process knows nothing of what runs.
             watch.incarnation = reply.incarnation
             watch.live_since_s = float("inf")
             if watch.is_attached:
                 watch.is_attached = False
-                self._listener.ask_again(process)
-        watch.hear(reply, read_clock_s())
-        if reply.is_ready and isinstance(self.current, Alone):
+                self._listener.resend_requests(process)
+        watch.update(reply, read_clock_s())
+        if reply.is_ready and isinstance(self.current, LocalDecider):
             self._judge_now.set()
-        self._listener.hear(process, reply)
+        self._listener.handle_reply(process, reply)
--- a/troutstand/routing/placing.py
+++ b/troutstand/routing/pendingplacement.py
@@ -15,7 +15,7 @@
 
 
 @dataclass
-class Placing:
+class PendingPlacement:
     """Hold one request that waits for a decision."""
 
     work: RoutedWork
@@ -25,7 +25,7 @@
     task: asyncio.Task[None] | None = None
 
 
-def shorten_work(work: RoutedWork, spent_s: float) -> RoutedWork:
+def update_remaining_time(work: RoutedWork, spent_s: float) -> RoutedWork:
     """Return the work with the time left that it has now.
 
     Without what is spent a request that moves to another scheduler seems to have just
--- a/troutstand/routing/heldwork.py
+++ b/troutstand/routing/placedrequests.py
@@ -14,7 +14,7 @@
 
 
 @dataclass
-class Held:
+class PlacedRequest:
     """Hold one request that has a target."""
 
     work: RoutedWork
@@ -27,11 +27,11 @@
     born_ms: int = 0
 
 
-class HeldWork:
+class PlacedRequests:
     """Hold the requests of one gateway that run at targets."""
 
     def __init__(self) -> None:
-        self._held: dict[str, Held] = {}
+        self._held: dict[str, PlacedRequest] = {}
         self._seen = ObservedSpeeds()
 
     def __len__(self) -> int:
@@ -39,11 +39,11 @@
 
     def start(self, work: RoutedWork, placed: Placed, now_s: float) -> None:
         """Note that a request was given a target."""
-        self._held[work.request] = Held(
+        self._held[work.request] = PlacedRequest(
             work, placed.target, now_s, placed.to_read, born_ms=placed.born_ms
         )
 
-    def note_first(self, request: str, first_s: float, now_s: float) -> FirstByte | None:
+    def record_first_byte(self, request: str, first_s: float, now_s: float) -> FirstByte | None:
         """Note that a target began to answer, and return what the decider is told."""
         held = self._held.get(request)
         if held is None:
@@ -55,7 +55,7 @@
             )
         return FirstByte(request, held.target, first_s)
 
-    def end(self, ended: Ended, table: RouteTable | None, now_s: float) -> None:
+    def finish(self, ended: Ended, table: RouteTable | None, now_s: float) -> None:
         """Forget a request, and learn from a whole answer how fast its target is."""
         held = self._held.pop(ended.request, None)
         if held is None or ended.ending is not Ending.whole or ended.total_s < 0.0:
--- a/troutstand/routing/placement.py
+++ b/troutstand/routing/placement.py
@@ -33,14 +33,19 @@
     RoutedWork,
     TargetNotices,
 )
-from troutstand.routing.decisions import ALONE, emit_blame_changes, emit_decision, emit_way_changes
+from troutstand.routing.decisionlog import (
+    LOCAL,
+    emit_decision,
+    emit_link_changes,
+    emit_suspicion_changes,
+)
 from troutstand.routing.heartbeats import Heartbeats
-from troutstand.routing.heldwork import HeldWork
-from troutstand.routing.placing import Placing, shorten_work
+from troutstand.routing.pendingplacement import PendingPlacement, update_remaining_time
+from troutstand.routing.placedrequests import PlacedRequests
 from troutstand.routing.schedulerwatch import (
-    PROBE_AFTER_S,
-    Alone,
+    PROBE_DELAY_S,
     Decider,
+    LocalDecider,
 )
 from troutstand.routing.targetlist import ListUnreadError
 from troutstand.util.clock import read_clock_s
@@ -70,8 +75,8 @@
         self._targets = targets
         self._rollouts = rollouts
         self._table: RouteTable | None = None
-        self._placing: dict[str, Placing] = {}
-        self._held = HeldWork()
+        self._placing: dict[str, PendingPlacement] = {}
+        self._held = PlacedRequests()
         # As a scheduler told; 0 until one has.
         self._told_gateways = 0
         self._went_alone = asyncio.Event()
@@ -127,16 +132,16 @@
         return self._heartbeats.current
 
     @property
-    def is_served(self) -> bool:
+    def can_place(self) -> bool:
         """Tell whether requests can get targets at all."""
-        return self._current is not Alone.ALONE or bool(self._targets.targets)
+        return self._current is not LocalDecider.LOCAL or bool(self._targets.targets)
 
     @property
     def decider(self) -> str:
         """Name who decides now."""
         return _name(self._current)
 
-    def use_table(self, table: RouteTable) -> None:
+    def update_table(self, table: RouteTable) -> None:
         """Take a configuration for decisions made alone."""
         self._table = table
         now_s = read_clock_s()
@@ -160,7 +165,7 @@
             quarantine = self._crashes.describe_quarantine(work.fingerprint, now_s)
             return decline_quarantined(work.request, quarantine)
         loop = asyncio.get_running_loop()
-        placing = Placing(work, read_clock_s(), loop.create_future())
+        placing = PendingPlacement(work, read_clock_s(), loop.create_future())
         self._placing[work.request] = placing
         self._ask(placing)
         try:
@@ -182,26 +187,26 @@
                 self._crashes.merge(crashes, now_s)
         return answer
 
-    def _ask(self, placing: Placing) -> None:
+    def _ask(self, placing: PendingPlacement) -> None:
         """Ask whoever decides now."""
         if placing.task is not None:
             placing.task.cancel()
             placing.task = None
         placing.asked = self._current
         spent_s = read_clock_s() - placing.since_s
-        work = shorten_work(placing.work, spent_s)
-        if isinstance(self._current, Alone):
+        work = update_remaining_time(placing.work, spent_s)
+        if isinstance(self._current, LocalDecider):
             self._local.place(work, self._node.process, read_clock_s())
             self._deliver_local()
             return
         placing.task = asyncio.create_task(self._ask_scheduler(placing, self._current, work))
 
     async def _ask_scheduler(
-        self, placing: Placing, scheduler: ProcessId, work: RoutedWork
+        self, placing: PendingPlacement, scheduler: ProcessId, work: RoutedWork
     ) -> None:
         limit_s = max(_MIN_ASK_S, work.remaining_s)
         loop = asyncio.get_running_loop()
-        probe = loop.call_later(PROBE_AFTER_S, self._heartbeats.probe, scheduler)
+        probe = loop.call_later(PROBE_DELAY_S, self._heartbeats.probe, scheduler)
         self._heartbeats.note_asked(scheduler)
         try:
             reply = await self._node.ask(scheduler, Place(work), limit_s)
@@ -236,31 +241,31 @@
             self._heartbeats.miss(scheduler)
             return None
 
-    def _withdraw(self, placing: Placing) -> None:
+    def _withdraw(self, placing: PendingPlacement) -> None:
         request = placing.work.request
-        if placing.asked is None or isinstance(placing.asked, Alone):
+        if placing.asked is None or isinstance(placing.asked, LocalDecider):
             self._local.abandon(request, read_clock_s())
         else:
             self._node.send(placing.asked, Abandon(request))
 
-    def note_first(self, request: str, first_s: float) -> None:
+    def record_first_byte(self, request: str, first_s: float) -> None:
         """Tell that a target began to answer."""
-        first = self._held.note_first(request, first_s, read_clock_s())
+        first = self._held.record_first_byte(request, first_s, read_clock_s())
         if first is None:
             return
-        if isinstance(self._current, Alone):
+        if isinstance(self._current, LocalDecider):
             self._local.record_first_byte(first, read_clock_s())
             self._deliver_local()
         else:
             self._node.send(self._current, first)
 
-    def end(self, ended: Ended) -> None:
+    def finish(self, ended: Ended) -> None:
         """Tell how a request ended at its target."""
         if ended.ending is Ending.kept_back:
             # Its decider did not know, or it would not have chosen this target.
             self._tell_notice(ended.target)
-        self._held.end(ended, self._table, read_clock_s())
-        if isinstance(self._current, Alone):
+        self._held.finish(ended, self._table, read_clock_s())
+        if isinstance(self._current, LocalDecider):
             self._local.finish(ended, read_clock_s())
             self._deliver_local()
         else:
@@ -268,11 +273,11 @@
 
     # What targets say of themselves
 
-    def judge_target(self, placed: Placed) -> BlockReason | None:
+    def get_block_reason(self, placed: Placed) -> BlockReason | None:
         """Return why nothing may be sent to a request's target now, or None."""
         return self._notices.get_block_reason(placed.target, placed.born_ms, read_clock_s())
 
-    def hear_target(self, request: str, notice: TargetNotice, asked_s: float) -> None:
+    def handle_notice(self, request: str, notice: TargetNotice, asked_s: float) -> None:
         """Take what a target's answer says of the target, and tell the decider at once.
 
         A limit is told with each answer that names it: it holds for as long as that, and a
@@ -287,14 +292,14 @@
     def _tell_notice(self, target: str) -> None:
         now_s = read_clock_s()
         notices = [self._notices.build_notice(target, now_s)]
-        if isinstance(self._current, Alone):
+        if isinstance(self._current, LocalDecider):
             self._local.apply_notices(self._node.process, notices, now_s)
         else:
             self._node.send(self._current, TargetNotices(notices))
 
     # Schedulers
 
-    def describe_attachment(self, is_attached: bool, is_first: bool) -> AttachAsk:
+    def make_heartbeat(self, is_attached: bool, is_first: bool) -> AttachAsk:
         """Write a heartbeat; the first one to a scheduler tells all that it must know."""
         now_s = read_clock_s()
         return AttachAsk(
@@ -317,7 +322,7 @@
             notices=self._notices.list_notices(now_s) if is_first else [],
         )
 
-    def hear(self, process: ProcessId, reply: Attached) -> None:
+    def handle_reply(self, process: ProcessId, reply: Attached) -> None:
         """Take a scheduler's answer to a heartbeat."""
         is_asked = process == self._current or self._is_alone()
         if reply.has_targets and is_asked and self._targets.take(reply):
@@ -332,16 +337,16 @@
                 self._crashes.replace(reply.crashes, read_clock_s())
 
     def _is_alone(self) -> bool:
-        return isinstance(self._current, Alone)
+        return isinstance(self._current, LocalDecider)
 
-    def switch(self, before: Decider) -> None:
+    def switch_decider(self, before: Decider) -> None:
         """Ask the present decider from now on, also what waits already."""
-        if isinstance(before, Alone):
+        if isinstance(before, LocalDecider):
             # What this gateway took alone counts at the scheduler that it asks next.
             held = self._local.quotas.export_usage(read_clock_s())
             self._levels = [Level(name, parts) for name, parts in held.items()]
         self._attachment += 1
-        if isinstance(self._current, Alone):
+        if isinstance(self._current, LocalDecider):
             self._local = self._make_local()
             self._went_alone.set()
         else:
@@ -357,14 +362,14 @@
         for placing in list(self._placing.values()):
             self._move(placing)
 
-    def _move(self, placing: Placing) -> None:
+    def _move(self, placing: PendingPlacement) -> None:
         if placing.answer.done():
             return
-        if placing.asked is not None and not isinstance(placing.asked, Alone):
+        if placing.asked is not None and not isinstance(placing.asked, LocalDecider):
             self._node.send(placing.asked, Abandon(placing.work.request))
         self._ask(placing)
 
-    def ask_again(self, process: ProcessId) -> None:
+    def resend_requests(self, process: ProcessId) -> None:
         """Repeat what a scheduler's earlier life was asked."""
         for placing in list(self._placing.values()):
             if placing.asked == process and not placing.answer.done():
@@ -373,8 +378,8 @@
     # Alone
 
     def _deliver_local(self) -> None:
-        emit_way_changes(self._node.events, self._local.reach.drain_changes(), ALONE)
-        emit_blame_changes(self._node.events, self._crashes.drain_changes(), ALONE)
+        emit_link_changes(self._node.events, self._local.reach.drain_changes(), LOCAL)
+        emit_suspicion_changes(self._node.events, self._crashes.drain_changes(), LOCAL)
         for decision in self._local.drain_decisions():
             answer = decision.answer
             placing = self._placing.get(answer.request)
@@ -383,7 +388,7 @@
             elif isinstance(answer, Placed):
                 self._local.abandon(answer.request, read_clock_s())
             version = self._table.version if self._table is not None else 0
-            emit_decision(self._node.events, decision, ALONE, version, self._targets.version)
+            emit_decision(self._node.events, decision, LOCAL, version, self._targets.version)
 
     async def _run_ticks(self) -> None:
         while True:
@@ -417,4 +422,4 @@
 
 
 def _name(decider: Decider) -> str:
-    return ALONE if isinstance(decider, Alone) else str(decider)
+    return LOCAL if isinstance(decider, LocalDecider) else str(decider)
--- a/troutstand/routing/relay.py
+++ b/troutstand/routing/relay.py
@@ -52,7 +52,7 @@
 
 
 @dataclass(frozen=True)
-class Outgoing:
+class OutgoingRequest:
     """Hold a caller's request as it goes to any target."""
 
     request: str
@@ -98,14 +98,14 @@
         self.notice = notice or TargetNotice("")
 
     @property
-    def has_arrived(self) -> bool:
+    def may_have_arrived(self) -> bool:
         """Tell whether the target may have seen the request."""
         return self.ending not in _UNSENT
 
     @property
     def may_have_run(self) -> bool:
         """Tell whether the target may have worked on the request."""
-        return self.has_arrived and self.ending is not Ending.turned_away
+        return self.may_have_arrived and self.ending is not Ending.turned_away
 
 
 def filter_headers(headers: Headers, drop: frozenset[str]) -> Headers:
@@ -121,7 +121,7 @@
 
 
 @dataclass
-class Sent:
+class SentRequest:
     """Hold a request under way at one target; times in seconds on the steady clock."""
 
     placed: Placed
@@ -137,26 +137,28 @@
         return _FIRST_SUCCESS <= self.head.status < _FIRST_FAILURE
 
 
-class TargetWatch(Protocol):
+class NoticeHandler(Protocol):
     """Know which targets want to be left alone."""
 
-    def judge_target(self, placed: Placed) -> BlockReason | None:
+    def get_block_reason(self, placed: Placed) -> BlockReason | None:
         """Return why nothing may be sent to a request's target now, or None."""
         ...
 
-    def hear_target(self, request: str, notice: TargetNotice, asked_s: float) -> None:
+    def handle_notice(self, request: str, notice: TargetNotice, asked_s: float) -> None:
         """Take what the answer to a request, sent at a time, says of its target."""
 
 
 class Sender:
     """Send requests to targets."""
 
-    def __init__(self, pool: ConnectionPool, names: HeaderNames, watch: TargetWatch) -> None:
+    def __init__(self, pool: ConnectionPool, names: HeaderNames, watch: NoticeHandler) -> None:
         self._pool = pool
         self._names = names
         self._watch = watch
 
-    async def send(self, outgoing: Outgoing, placed: Placed, deadline_s: float) -> Sent:
+    async def send(
+        self, outgoing: OutgoingRequest, placed: Placed, deadline_s: float
+    ) -> SentRequest:
         """Send a request and return its answer's head.
 
         Raises
@@ -197,14 +199,14 @@
 
         Written on a kept connection that failed, it may have run all the same.
         """
-        kept_back = self._watch.judge_target(placed)
+        kept_back = self._watch.get_block_reason(placed)
         if kept_back is not None:
             ending = Ending.broken if was_written else Ending.kept_back
             raise SendError(ending, f"the target is {kept_back.value}", was_resent=was_written)
 
     async def _send_once(
-        self, outgoing: Outgoing, placed: Placed, deadline_s: float, max_idle_s: float | None
-    ) -> Sent:
+        self, outgoing: OutgoingRequest, placed: Placed, deadline_s: float, max_idle_s: float | None
+    ) -> SentRequest:
         connection = await self._pool.acquire(placed.address, max_idle_s)
         started_s = read_clock_s()
         try:
@@ -215,8 +217,8 @@
             connection.abort()
             raise
         notice = parse_notice(answer.status, answer.get, self._names, placed.target, placed.born_ms)
-        self._watch.hear_target(outgoing.request, notice, started_s)
-        sent = Sent(placed, connection, answer, started_s, read_clock_s() - started_s)
+        self._watch.handle_notice(outgoing.request, notice, started_s)
+        sent = SentRequest(placed, connection, answer, started_s, read_clock_s() - started_s)
         try:
             self._check_head(outgoing, answer, notice)
         except SendError as error:
@@ -224,7 +226,7 @@
             raise
         return sent
 
-    def _write_head(self, outgoing: Outgoing, placed: Placed, left_s: float) -> bytes:
+    def _write_head(self, outgoing: OutgoingRequest, placed: Placed, left_s: float) -> bytes:
         left_ms = max(1, int(left_s * 1000))
         headers = [
             *outgoing.headers,
@@ -235,7 +237,9 @@
             headers.append(("Content-Length", str(len(outgoing.body))))
         return write_head(outgoing.method, outgoing.path, headers)
 
-    def _check_head(self, outgoing: Outgoing, head: ResponseHead, notice: TargetNotice) -> None:
+    def _check_head(
+        self, outgoing: OutgoingRequest, head: ResponseHead, notice: TargetNotice
+    ) -> None:
         echo = head.get(self._names.request)
         if echo and echo != outgoing.request:
             raise SendError(Ending.broken, f"the answer is for request {echo!r}", head.status)
@@ -247,18 +251,18 @@
         if head.get("content-encoding") is not None:
             raise SendError(Ending.broken, "the body is encoded", head.status)
 
-    async def _finish_refused(self, sent: Sent, error: SendError) -> None:
+    async def _finish_refused(self, sent: SentRequest, error: SendError) -> None:
         """Read a refusal to its end, so that its connection can be kept."""
         if error.ending is not Ending.turned_away:
             sent.connection.abort()
             return
         try:
             async with asyncio.timeout(0.1):
-                await self.read_whole(sent)
+                await self.read_body(sent)
         except (SendError, TimeoutError):
             sent.connection.abort()
 
-    async def read_whole(self, sent: Sent) -> bytes:
+    async def read_body(self, sent: SentRequest) -> bytes:
         """Return an answer's whole body and keep its connection.
 
         Raises
@@ -283,6 +287,6 @@
         """Tell whether a target's process has ended."""
         return await self._pool.is_gone(address)
 
-    def release(self, sent: Sent) -> None:
+    def release(self, sent: SentRequest) -> None:
         """Keep the connection of an answer that was read to its end."""
         self._pool.release(sent.connection)
--- a/troutstand/routing/scheduler.py
+++ b/troutstand/routing/scheduler.py
@@ -25,11 +25,11 @@
     Refused,
     TargetNotices,
 )
-from troutstand.routing.decisions import (
+from troutstand.routing.decisionlog import (
     SCHEDULER,
-    emit_blame_changes,
     emit_decision,
-    emit_way_changes,
+    emit_link_changes,
+    emit_suspicion_changes,
 )
 from troutstand.routing.follower import Follower
 from troutstand.routing.loadreport import LoadReport
@@ -160,8 +160,8 @@
 
     def _deliver(self) -> None:
         now_s = read_clock_s()
-        emit_way_changes(self.node.events, self.dispatcher.reach.drain_changes(), SCHEDULER)
-        emit_blame_changes(self.node.events, self.dispatcher.crashes.drain_changes(), SCHEDULER)
+        emit_link_changes(self.node.events, self.dispatcher.reach.drain_changes(), SCHEDULER)
+        emit_suspicion_changes(self.node.events, self.dispatcher.crashes.drain_changes(), SCHEDULER)
         for decision in self.dispatcher.drain_decisions():
             answer = decision.answer
             settled = self._settle(decision.owner, answer.request, answer)
--- a/troutstand/routing/targetlist.py
+++ b/troutstand/routing/targetlist.py
@@ -167,7 +167,7 @@
         connection = await self._pool.acquire(self._address)
         try:
             head = write_head(
-                "GET", self._dialect.name_targets_path(token), [("Host", self._address)]
+                "GET", self._dialect.get_targets_path(token), [("Host", self._address)]
             )
             connection.send(head, b"", False)
             answer = await connection.receive_head()
--- a/troutstand/testing/coldstart.py
+++ b/troutstand/testing/coldstart.py
@@ -8,11 +8,11 @@
 from troutstand.core.ids import ProcessId
 from troutstand.generated.messages import Attached
 from troutstand.routing.schedulerwatch import (
-    Alone,
     Decider,
-    Watch,
+    LocalDecider,
+    SchedulerHealth,
     choose_decider,
-    space_standbys,
+    update_standby_periods,
 )
 
 _STEP_S = 0.01
@@ -52,9 +52,9 @@
 
     number: int
     judges_s: float
-    watches: dict[ProcessId, Watch]
+    watches: dict[ProcessId, SchedulerHealth]
     beats_s: dict[ProcessId, float]
-    current: Decider = Alone.ALONE
+    current: Decider = LocalDecider.LOCAL
     # Answers that are on their way, by when they come.
     coming: list[tuple[float, ProcessId, Attached]] = field(default_factory=list)
 
@@ -81,7 +81,7 @@
         return GatewayBegun(
             number,
             uniform(0.0, _WATCH_S),
-            {name: Watch() for name in self._schedulers},
+            {name: SchedulerHealth() for name in self._schedulers},
             {name: uniform(0.0, _PERIOD_S) for name in self._schedulers},
         )
 
@@ -92,14 +92,14 @@
             for gateway in self._gateways:
                 self._step(gateway, step * _STEP_S)
             currents = [gateway.current for gateway in self._gateways]
-            asked.append({str(name) for name in currents if not isinstance(name, Alone)})
+            asked.append({str(name) for name in currents if not isinstance(name, LocalDecider)})
         return asked
 
     def _step(self, gateway: GatewayBegun, now_s: float) -> None:
         for due in [c for c in gateway.coming if c[0] <= now_s]:
             gateway.coming.remove(due)
-            gateway.watches[due[1]].hear(due[2], now_s)
-            if isinstance(gateway.current, Alone) and due[2].is_ready:
+            gateway.watches[due[1]].update(due[2], now_s)
+            if isinstance(gateway.current, LocalDecider) and due[2].is_ready:
                 gateway.judges_s = now_s
         if now_s >= gateway.judges_s:
             gateway.judges_s = now_s + _WATCH_S
@@ -116,10 +116,10 @@
         decider = choose_decider(gateway.watches, gateway.current, now_s)
         if decider != gateway.current:
             gateway.current = decider
-            if not isinstance(decider, Alone):
-                gateway.watches[decider].note_moved(now_s)
+            if not isinstance(decider, LocalDecider):
+                gateway.watches[decider].record_switch(now_s)
                 self._beat(gateway, decider, now_s)
-        space_standbys(gateway.watches, gateway.current, now_s)
+        update_standby_periods(gateway.watches, gateway.current, now_s)
 
     def _beat(self, gateway: GatewayBegun, name: ProcessId, now_s: float) -> None:
         scheduler = self._schedulers[name]
@@ -129,7 +129,7 @@
             scheduler.asked_by.add(gateway.number)
         else:
             scheduler.asked_by.discard(gateway.number)
-        is_alone = isinstance(gateway.current, Alone)
+        is_alone = isinstance(gateway.current, LocalDecider)
         scheduler.asks[gateway.number] = "" if is_alone else str(gateway.current)
         came_s = now_s + self._chance.uniform(*_LATENCIES_S)
         gateway.coming.append((came_s, name, scheduler.answer(now_s)))
--- a/troutstand/tests/steps/relay.py
+++ b/troutstand/tests/steps/relay.py
@@ -17,7 +17,7 @@
 from troutstand.routing.dialect import HeaderNames
 from troutstand.routing.eventstreams import EventBoundaryTracker, EventSplitter
 from troutstand.routing.httpclient import ConnectionPool
-from troutstand.routing.relay import Outgoing, Sender, SendError
+from troutstand.routing.relay import OutgoingRequest, Sender, SendError
 from troutstand.testing.scripted import Close, Received, Reply, ScriptedTarget
 from troutstand.tests.steps.configuration import make_route
 
@@ -80,7 +80,7 @@
 }
 
 
-def _make_outgoing(is_repeatable: bool, body: bytes = b"") -> Outgoing:
+def _make_outgoing(is_repeatable: bool, body: bytes = b"") -> OutgoingRequest:
     names = HeaderNames()
     headers = [
         ("X-Request-Id", _REQUEST),
@@ -115,7 +115,7 @@
         self.book = NoticeStore()
         self._looks_before_rest = looks_before_rest
 
-    def judge_target(self, placed: Placed) -> BlockReason | None:
+    def get_block_reason(self, placed: Placed) -> BlockReason | None:
         """Return why nothing may be sent to a request's target now, or None."""
         if self._looks_before_rest is not None:
             if not self._looks_before_rest:
@@ -123,12 +123,12 @@
             self._looks_before_rest -= 1
         return self.book.get_block_reason(placed.target, placed.born_ms, time.monotonic())
 
-    def hear_target(self, request: str, notice: TargetNotice, asked_s: float) -> None:
+    def handle_notice(self, request: str, notice: TargetNotice, asked_s: float) -> None:
         """Take what the answer to a request, sent at a time, says of its target."""
         self.book.record(notice, asked_s, time.monotonic())
 
 
-async def _send_all(context: Context, outgoings: list[Outgoing]) -> None:
+async def _send_all(context: Context, outgoings: list[OutgoingRequest]) -> None:
     target = context.target
     if target is not None:
         await target.start()
@@ -140,7 +140,7 @@
         placed = Placed(_REQUEST, "t1", context.address)
         try:
             sent = await sender.send(outgoing, placed, time.monotonic() + _LIMIT_S)
-            body = await sender.read_whole(sent)
+            body = await sender.read_body(sent)
             assert body == b"hello", body
             context.outcomes.append("whole")
         except SendError as error:
--- a/troutstand/tests/steps/schedulerwatch.py
+++ b/troutstand/tests/steps/schedulerwatch.py
@@ -8,11 +8,11 @@
 
 from troutstand.core.ids import ProcessId
 from troutstand.routing.schedulerwatch import (
-    Alone,
     Decider,
-    Watch,
+    LocalDecider,
+    SchedulerHealth,
     choose_decider,
-    space_standbys,
+    update_standby_periods,
 )
 from troutstand.testing.coldstart import ColdStart, measure_alone, measure_shared
 
@@ -25,12 +25,14 @@
 _PLAYED_S = 6.0
 
 
-def _make_watch(age_s: float) -> Watch:
-    return Watch(heard_s=_NOW_S - age_s, live_since_s=_NOW_S - _LONG_S, is_ready=True)
+def _make_watch(age_s: float) -> SchedulerHealth:
+    return SchedulerHealth(
+        last_heard_s=_NOW_S - age_s, live_since_s=_NOW_S - _LONG_S, is_ready=True
+    )
 
 
 def _read_decider(name: str) -> Decider:
-    return Alone.ALONE if name == "nobody" else ProcessId(name)
+    return LocalDecider.LOCAL if name == "nobody" else ProcessId(name)
 
 
 @given("schedulers a, b and c that answered {first:g}, {second:g} and {third:g} s ago")
@@ -49,7 +51,7 @@
 def set_live(context: Context, name: str, length_s: float, count: int) -> None:
     watch = context.watches[ProcessId(name)]
     watch.live_since_s = _NOW_S - length_s
-    watch.attached = count
+    watch.gateway_count = count
 
 
 @given("{name} has been live for {length_s:g} s and says that {count:d} gateways ask {asked}")
@@ -57,7 +59,7 @@
 def set_told(context: Context, name: str, length_s: float, count: int, asked: str) -> None:
     watch = context.watches[ProcessId(name)]
     watch.live_since_s = _NOW_S - length_s
-    watch.most_asked, watch.most_asked_by = asked, count
+    watch.most_used, watch.most_used_count = asked, count
 
 
 @given("{name} is heard every {period_s:g} s and has not answered for {silent_s:g} s")
@@ -65,34 +67,34 @@
 def set_unanswered(context: Context, name: str, period_s: float, silent_s: float) -> None:
     watch = context.watches[ProcessId(name)]
     watch.period_s = period_s
-    watch.note_answered()
-    watch.note_asked(_NOW_S - silent_s)
+    watch.record_response()
+    watch.record_request(_NOW_S - silent_s)
 
 
 @given("{name} was moved to {moved_s:g} s ago and has not answered for {silent_s:g} s")
 @when("{name} was moved to {moved_s:g} s ago and has not answered for {silent_s:g} s")
 def set_moved(context: Context, name: str, moved_s: float, silent_s: float) -> None:
     watch = context.watches[ProcessId(name)]
-    watch.heard_s = _NOW_S - silent_s
-    watch.note_moved(_NOW_S - moved_s)
-    watch.note_answered()
-    watch.note_asked(_NOW_S - silent_s)
+    watch.last_heard_s = _NOW_S - silent_s
+    watch.record_switch(_NOW_S - moved_s)
+    watch.record_response()
+    watch.record_request(_NOW_S - silent_s)
 
 
 @when("{name} answers")
 def answer(context: Context, name: str) -> None:
-    context.watches[ProcessId(name)].note_answered()
+    context.watches[ProcessId(name)].record_response()
 
 
 @when("the gateway itself stood still for {stall_s:g} s")
 def stand_still(context: Context, stall_s: float) -> None:
     for watch in context.watches.values():
-        watch.forgive(stall_s)
+        watch.discount_stall(stall_s)
 
 
 @when("{name} was left")
 def leave(context: Context, name: str) -> None:
-    context.watches[ProcessId(name)].miss()
+    context.watches[ProcessId(name)].mark_lost()
 
 
 def _check_choice(context: Context, current: Decider, expected: str) -> None:
@@ -104,7 +106,7 @@
 
 @then("a gateway that decides alone asks {expected}")
 def check_alone(context: Context, expected: str) -> None:
-    _check_choice(context, Alone.ALONE, expected)
+    _check_choice(context, LocalDecider.LOCAL, expected)
 
 
 @then("a gateway that asks {current} asks {expected}")
@@ -114,7 +116,7 @@
 
 @when("a gateway that asks {current} spaces its heartbeats")
 def space(context: Context, current: str) -> None:
-    space_standbys(context.watches, _read_decider(current), _NOW_S)
+    update_standby_periods(context.watches, _read_decider(current), _NOW_S)
 
 
 def _list_periods(context: Context, names: str) -> list[float]:
@@ -136,7 +138,7 @@
 def set_ready(context: Context, name: str, ready_s: float, count: int) -> None:
     watch = context.watches[ProcessId(name)]
     watch.ready_since_s = _NOW_S - ready_s
-    watch.attached = count
+    watch.gateway_count = count
 
 
 @when("{gateways:d} gateways and schedulers that are ready after {ready} s begin in 50 draws")
--- a/troutstand/tests/steps/targetpages.py
+++ b/troutstand/tests/steps/targetpages.py
@@ -15,7 +15,7 @@
 from troutstand.core.errors import TroutstandError
 from troutstand.generated.messages import ListedState, ListedTarget
 from troutstand.generated.routing import RoutingRole
-from troutstand.routing.dialect import OWN_PAGE, decode_own_targets
+from troutstand.routing.dialect import DEFAULT_PAGE, decode_default_targets
 from troutstand.routing.targetpages import PageForm, SoundEntries, SpoiledEntry, TargetPage
 from troutstand.testing.routedscene import Scene
 from troutstand.testing.routedsite import wait_until
@@ -43,10 +43,10 @@
     def __init__(self, form: str) -> None:
         targets = load_folder()[2]
         is_own = form == "own"
-        self.form: PageForm = OWN_PAGE if is_own else targets.FORM
+        self.form: PageForm = DEFAULT_PAGE if is_own else targets.FORM
         self.entry: dict[str, object] = dict(_OWN if is_own else LISTED)
         self.decode: Callable[[bytes], TargetPage]
-        self.decode = decode_own_targets if is_own else targets.decode_targets
+        self.decode = decode_default_targets if is_own else targets.decode_targets
 
     def make(self, **fields: object) -> dict[str, object]:
         """Make a sound entry with other values."""
