--- a/troutstand/core/contacts.py
+++ b/troutstand/core/contacts.py
@@ -80,7 +80,7 @@
         return xxhash.xxh3_64_hexdigest("\n".join(members).encode())
 
     def refresh(self, processes: Iterable[str], now_s: float) -> None:
-        """Set the last-heard time of processes that a peer still lists to now."""
+        """Reset the age of processes that a peer still lists."""
         for process in processes:
             known = self.find(process)
             if known is not None:
