--- a/troutstand/core/answerstream.py
+++ b/troutstand/core/answerstream.py
@@ -39,6 +39,8 @@
         The id that every event must carry.
     numbered
         Whether the engine numbers its events from 0.
+    limit_bytes
+        Maximum size of the stream.
     """
 
     answer_id: str
--- a/troutstand/core/crashtracker.py
+++ b/troutstand/core/crashtracker.py
@@ -41,7 +41,7 @@
 _MAX_HISTORIES = 2000
 # Histories shared with other processes.
 _MAX_SHARED = 64
-_MAX_RECENT = 256
+_MAX_RECENT_TARGETS = 256
 _VERSION_BYTES = 8
 
 
@@ -176,7 +176,7 @@
         self._forget(fingerprint)
 
     def _get_recent(self, target: str, now_s: float) -> _RecentFailures:
-        if len(self._recent) > _MAX_RECENT:
+        if len(self._recent) > _MAX_RECENT_TARGETS:
             active = {
                 t: r for t, r in self._recent.items() if now_s - r.updated_s <= _CRASH_WINDOW_S
             }
--- a/troutstand/core/speed.py
+++ b/troutstand/core/speed.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-_EWMA = 0.25
+_EWMA_WEIGHT = 0.25
 # Decay of older samples with each new one; the window is about 20 samples.
 _DECAY = 0.95
 # The prior counts as two samples: an empty prompt and one with this many tokens.
@@ -26,7 +26,9 @@
     def add_sample(self, sample: float) -> None:
         """Update the average with a sample."""
         self.samples += 1
-        self.value = sample if self.value is None else self.value + _EWMA * (sample - self.value)
+        self.value = (
+            sample if self.value is None else self.value + _EWMA_WEIGHT * (sample - self.value)
+        )
 
     def merge(self, value: float, samples: int) -> None:
         """Merge another average, weighted by the number of samples."""
--- a/troutstand/core/targetstate.py
+++ b/troutstand/core/targetstate.py
@@ -17,9 +17,9 @@
 
     from troutstand.generated.messages import ListedTarget, Part, RoutedWork, TargetSpeed
 
-_HEALTH_EWMA = 0.15
-_FIRST_BLOCK_S = 0.5
-_MAX_BLOCK_S = 4.0
+_HEALTH_EWMA_WEIGHT = 0.15
+_INITIAL_EJECTION_S = 0.5
+_MAX_EJECTION_S = 4.0
 _REJECTION_BLOCK_S = 0.05
 # Minimum time between a loss and the next probe. Without it a target that refuses
 # connections would fail many queued requests within milliseconds.
@@ -229,14 +229,14 @@
 
     def record_success(self, now_s: float) -> None:
         """Record a complete answer, which ends an ejection."""
-        self.success_rate += _HEALTH_EWMA * (1.0 - self.success_rate)
+        self.success_rate += _HEALTH_EWMA_WEIGHT * (1.0 - self.success_rate)
         self.consecutive_losses = 0
         self.blocked_until_s = 0.0
         self.last_response_s = now_s
 
     def record_fault(self, now_s: float) -> None:
         """Record an error response of the target."""
-        self.success_rate += _HEALTH_EWMA * (0.0 - self.success_rate)
+        self.success_rate += _HEALTH_EWMA_WEIGHT * (0.0 - self.success_rate)
         self.last_response_s = now_s
 
     def record_loss(self, run: RunningRequest, now_s: float) -> None:
@@ -246,8 +246,8 @@
         if is_probe:
             # A failed probe must not extend the ejection of a target that has recovered.
             return
-        self.success_rate += _HEALTH_EWMA * (0.0 - self.success_rate)
-        block_s = min(_MAX_BLOCK_S, _FIRST_BLOCK_S * 2.0**self.consecutive_losses)
+        self.success_rate += _HEALTH_EWMA_WEIGHT * (0.0 - self.success_rate)
+        block_s = min(_MAX_EJECTION_S, _INITIAL_EJECTION_S * 2.0**self.consecutive_losses)
         self.consecutive_losses += 1
         self.blocked_until_s = max(self.blocked_until_s, now_s + block_s)
 
