--- a/troutstand/core/edit.py
+++ b/troutstand/core/edit.py
@@ -48,7 +48,7 @@
 
 
 @dataclass(frozen=True)
-class VersionEmpty:
+class VersionBlank:
     """A quorum has no value for the version."""
 
 
@@ -64,7 +64,7 @@
     """No quorum answered."""
 
 
-Event = VersionEmpty | VersionDecided | QuorumUnreachable
+Event = VersionBlank | VersionDecided | QuorumUnreachable
 
 
 class EditState(Enum):
@@ -105,7 +105,7 @@
             case (EditState.READING, VersionDecided(edit_id)):
                 self._record_decided(edit_id)
                 return self.start()
-            case (EditState.READING, VersionEmpty()):
+            case (EditState.READING, VersionBlank()):
                 return self._propose_or_answer()
             case (EditState.PROPOSING, VersionDecided(edit_id)):
                 self._record_decided(edit_id)
--- a/troutstand/daemon/configuration.py
+++ b/troutstand/daemon/configuration.py
@@ -17,8 +17,8 @@
     ProposeVersion,
     QuorumUnreachable,
     ReadVersion,
+    VersionBlank,
     VersionDecided,
-    VersionEmpty,
 )
 from troutstand.core.errors import TroutstandError
 from troutstand.core.ids import ProcessId, Version
@@ -175,7 +175,7 @@
             # The operator gets an error if the edit fails for want of it.
             return QuorumUnreachable()
         if data is None:
-            return VersionEmpty()
+            return VersionBlank()
         return await self._learn_decided(version, data)
 
     async def _propose(self, version: int, change: Change) -> Event:
--- a/troutstand/testing/models/edit.py
+++ b/troutstand/testing/models/edit.py
@@ -15,8 +15,8 @@
     ProposeVersion,
     QuorumUnreachable,
     ReadVersion,
+    VersionBlank,
     VersionDecided,
-    VersionEmpty,
 )
 from troutstand.testing.models.check import ModelSpec, Step
 
@@ -144,7 +144,7 @@
 def _read(world: World, version: int) -> Event:
     if version <= len(world.registers):
         return VersionDecided(world.registers[version - 1])
-    return VersionEmpty()
+    return VersionBlank()
 
 
 def _write(world: World, version: int, edit_id: str) -> World:
