--- a/troutstand/core/rollouts/planning.py
+++ b/troutstand/core/rollouts/planning.py
@@ -11,13 +11,13 @@
 if TYPE_CHECKING:
     from troutstand.generated.messages import RolloutOrder
 
-# Time until every connected process acts on a decided switch: four heartbeat intervals of
-# the keepers.
+# Time until every connected process acts on a decided switch: four intervals between its
+# requests to the keepers.
 PROPAGATION_S = 1.2
 # Time to agree on the switch and the completion: two rounds with one lost message each.
 _CONSENSUS_S = 0.8
-# Requests at the old version may finish within this many mean slot times; 1 in 20 takes
-# longer if times are exponentially distributed.
+# The switch leaves requests at the old version this many mean slot times to finish; 1 in 20
+# takes longer if times are exponentially distributed.
 _DRAIN_SLOT_TIMES = 3.0
 # Upper bound of the switch margin, as a share of the order's duration.
 _MAX_MARGIN_SHARE = 0.4
