--- a/troutstand/core/dispatch.py
+++ b/troutstand/core/dispatch.py
@@ -123,14 +123,18 @@
                 return
         else:
             self.retries.record_request(work.service, now_s)
-            judgement = self.quotas.take(work.workspace, work.charge, now_s)
-            if judgement.verdict is Verdict.EXCESS and not pool.has_spare_capacity(now_s):
+            quota_decision = self.quotas.take(work.workspace, work.charge, now_s)
+            if quota_decision.verdict is Verdict.EXCESS and not pool.has_spare_capacity(now_s):
                 self.quotas.refund(work.workspace, work.charge, now_s, now_s)
-                judgement = QuotaDecision(Verdict.REFUSED, judgement.wait_s)
-            if judgement.verdict is Verdict.REFUSED:
-                taken = self.quotas.get_usage_share(work.workspace)
-                reason = f"workspace={work.workspace} charge={work.charge:g} taken={taken:.2f}"
-                self._decline(work, owner, ResultCode.WORKSPACE_LIMIT, judgement.wait_s, reason)
+                quota_decision = QuotaDecision(Verdict.REFUSED, quota_decision.wait_s)
+            if quota_decision.verdict is Verdict.REFUSED:
+                usage_share = self.quotas.get_usage_share(work.workspace)
+                reason = (
+                    f"workspace={work.workspace} charge={work.charge:g} taken={usage_share:.2f}"
+                )
+                self._decline(
+                    work, owner, ResultCode.WORKSPACE_LIMIT, quota_decision.wait_s, reason
+                )
                 return
         if self._options.protects_tiers:
             pool.record_arrival(work, now_s)
