--- a/troutstand/routing/callhandler.py
+++ b/troutstand/routing/callhandler.py
@@ -13,7 +13,7 @@
 from troutstand.generated.configuration import RouteKind
 from troutstand.generated.messages import Declined, Ended, Ending, Placed
 from troutstand.routing.callerresponse import CallerResponse
-from troutstand.routing.calls import resume_after
+from troutstand.routing.calls import add_resume_header
 from troutstand.routing.errorresponse import make_error_response
 from troutstand.routing.eventstreams import EventBoundaryTracker, EventSplitter
 from troutstand.routing.httpclient import ExchangeError
@@ -80,7 +80,7 @@
 
     def _note_cancelled(self) -> None:
         """Log who ended the request: its caller, or the end of a planned stop."""
-        if self._gateway.is_cutting:
+        if self._gateway.is_aborting:
             self._emit("request_cut", ResultCode.DRAINING, 0)
         else:
             self._emit("request_left", ResultCode.OK, 0)
@@ -199,7 +199,9 @@
     async def _send(self, placed: Placed) -> SentRequest:
         outgoing = self._outgoing
         if self._splitter is not None:
-            outgoing = resume_after(outgoing, self._gateway.dialect.headers, self._splitter.last_id)
+            outgoing = add_resume_header(
+                outgoing, self._gateway.dialect.headers, self._splitter.last_id
+            )
         sending = self._gateway.sender.send(outgoing, placed, self._call.deadline_s)
         if not self._can_try_another():
             return await sending
--- a/troutstand/routing/calls.py
+++ b/troutstand/routing/calls.py
@@ -1,4 +1,4 @@
-"""Read a caller's request into what the scheduler and the targets need."""
+"""Parse a caller's request into the forms for the scheduler and for targets."""
 
 from __future__ import annotations
 
@@ -22,26 +22,26 @@
     from troutstand.routing.dialect import HeaderNames
     from troutstand.routing.httpclient import Headers
 
-_MAX_PARTS = 64
-_MILLISECONDS = 1000.0
+_MAX_PROMPT_PARTS = 64
+_MS_PER_S = 1000.0
 
 
 @dataclass(frozen=True)
 class TokenCount:
-    """Tell a request's prompt tokens and the most that it may generate."""
+    """Hold a request's prompt tokens and its maximum of output tokens."""
 
     prompt: int
     output: int
 
     @property
     def total(self) -> int:
-        """Return both together."""
+        """Return the sum of prompt and output tokens."""
         return self.prompt + self.output
 
 
 @dataclass(frozen=True)
 class Call:
-    """Hold one caller's request; times in seconds on the steady clock."""
+    """Hold one parsed request; times in seconds on the monotonic clock."""
 
     request: str
     route: Route
@@ -55,12 +55,12 @@
     arrived_s: float
     deadline_s: float
     tier_order: TierOrder = DEFAULT_TIER_ORDER
-    # The same for all requests of a caller with one path and body.
+    # Equal for all requests of a workspace with the same method, host, path and body.
     fingerprint: str = ""
 
     @property
     def is_repeatable(self) -> bool:
-        """Tell whether the request may run more than once."""
+        """Return whether the request may run more than once."""
         route = self.route
         if route.kind is RouteKind.streaming:
             return route.resumable
@@ -68,18 +68,18 @@
 
     @property
     def tiers(self) -> TierRanks:
-        """Return the request's ranks."""
-        own = self.workspace.tier if self.workspace is not None else None
-        return rank_tiers(own or 0, self.route.tier, self.tier_order)
+        """Return the tier ranks for placement and shedding."""
+        workspace_tier = self.workspace.tier if self.workspace is not None else None
+        return rank_tiers(workspace_tier or 0, self.route.tier, self.tier_order)
 
     @property
     def objective_s(self) -> float:
-        """Return the time within which an answer is in time."""
+        """Return the latency objective, the route's timeout if it has none."""
         ms = self.route.objective_ms or self.route.timeout_ms
-        return ms / _MILLISECONDS
+        return ms / _MS_PER_S
 
-    def count_charge(self) -> float:
-        """Return what the request takes of its workspace's limit."""
+    def compute_quota_charge(self) -> float:
+        """Return the tokens or requests charged to the rate limit of the workspace."""
         workspace = self.workspace
         if workspace is None or not workspace.tokens_per_s:
             return 0.0
@@ -94,14 +94,14 @@
         excluded: list[str],
         is_charged: bool,
         failure_domain: str,
-        has_begun: bool = False,
+        has_response_begun: bool = False,
     ) -> RoutedWork:
-        """Describe the request to whoever decides.
+        """Create the placement request for a scheduler.
 
         Parameters
         ----------
-        has_begun
-            Whether the caller has a part of the answer: its silence is counted anew.
+        has_response_begun
+            Whether the caller got a part of the response; the silence limit no longer applies.
         """
         return RoutedWork(
             request=self.request,
@@ -112,13 +112,13 @@
             shed_tier=self.tiers.shed,
             is_repeatable=self.is_repeatable,
             objective_s=self.objective_s,
-            pause_s=self.route.pause_ms / _MILLISECONDS,
-            silence_s=0.0 if has_begun else self.route.silence_ms / _MILLISECONDS,
+            pause_s=self.route.pause_ms / _MS_PER_S,
+            silence_s=0.0 if has_response_begun else self.route.silence_ms / _MS_PER_S,
             remaining_s=max(0.0, self.deadline_s - now_s),
             spent_s=now_s - self.arrived_s,
             prompt_tokens=self.tokens.prompt if self.tokens else 0,
             output_tokens=self.expected_output,
-            charge=self.count_charge() if is_charged else 0.0,
+            charge=self.compute_quota_charge() if is_charged else 0.0,
             model=self.model,
             parts=self.parts,
             attempt=attempt,
@@ -130,33 +130,33 @@
         )
 
 
-def read_tokens(text: str | None) -> TokenCount | None:
-    """Read a token count, PROMPT,OUTPUT."""
+def parse_token_count(text: str | None) -> TokenCount | None:
+    """Parse a token count of the form PROMPT,OUTPUT."""
     if text is None:
         return None
     prompt, _, output = text.partition(",")
     try:
         return TokenCount(max(0, int(prompt)), max(0, int(output or 0)))
     except ValueError as error:
-        detail = f"token count {text!r}, PROMPT,OUTPUT is accepted"
+        detail = f"token count {text!r} is not of the form PROMPT,OUTPUT"
         raise TroutstandError(ResultCode.FIELD_INVALID, detail) from error
 
 
-def read_parts(text: str | None) -> list[Part]:
-    """Read prompt parts, ID:TOKENS,...; what cannot be read is left out."""
+def parse_prompt_parts(text: str | None) -> list[Part]:
+    """Parse prompt parts of the form ID:TOKENS,...; skip invalid entries."""
     parts: list[Part] = []
-    for entry in (text or "").split(",")[:_MAX_PARTS]:
+    for entry in (text or "").split(",")[:_MAX_PROMPT_PARTS]:
         name, _, tokens = entry.strip().partition(":")
         if name and tokens.isdigit():
             parts.append(Part(name, int(tokens)))
     return parts
 
 
-def _read_positive(text: str | None) -> float | None:
+def _parse_positive(text: str | None) -> float | None:
     try:
         number = float(text) if text is not None else 0.0
     except ValueError:
-        # What a caller may leave out is left out where it cannot be read.
+        # An invalid optional header is ignored.
         return None
     return number if number > 0 else None
 
@@ -168,7 +168,7 @@
     path: str,
     tier_order: TierOrder = DEFAULT_TIER_ORDER,
 ) -> Call:
-    """Find a request's route and workspace and read its headers.
+    """Find a request's route and workspace and parse its headers.
 
     Raises
     ------
@@ -179,7 +179,7 @@
     host = headers.get("host", "")
     route = table.find_route(host, path.partition("?")[0])
     if route is None:
-        raise TroutstandError(ResultCode.PATH_UNKNOWN, f"no route at {host}{path}")
+        raise TroutstandError(ResultCode.PATH_UNKNOWN, f"no route matches {host}{path}")
     request = headers.get(names.request)
     if not request:
         raise TroutstandError(ResultCode.FIELD_INVALID, f"header {names.request} is missing")
@@ -187,11 +187,13 @@
     if table.requires_keys and not route.anonymous:
         workspace = table.find_workspace(headers.get(names.key, ""))
         if workspace is None:
-            raise TroutstandError(ResultCode.TOKEN_UNKNOWN, f"route {route.name!r} needs a key")
-    tokens = read_tokens(headers.get(names.tokens))
-    limit_ms = min(route.timeout_ms, _read_positive(headers.get(names.deadline_ms)) or float("inf"))
-    hint = _read_positive(headers.get(names.output_estimate))
-    most = tokens.output if tokens else 0
+            raise TroutstandError(ResultCode.TOKEN_UNKNOWN, f"route {route.name!r} requires a key")
+    tokens = parse_token_count(headers.get(names.tokens))
+    limit_ms = min(
+        route.timeout_ms, _parse_positive(headers.get(names.deadline_ms)) or float("inf")
+    )
+    estimated_output = _parse_positive(headers.get(names.output_estimate))
+    max_output = tokens.output if tokens else 0
     return Call(
         request=request,
         route=route,
@@ -199,17 +201,17 @@
         workspace=workspace,
         version=table.version,
         tokens=tokens,
-        expected_output=min(most, int(hint)) if hint else most,
+        expected_output=min(max_output, int(estimated_output)) if estimated_output else max_output,
         model=headers.get(names.model, ""),
-        parts=read_parts(headers.get(names.parts)),
+        parts=parse_prompt_parts(headers.get(names.parts)),
         arrived_s=now_s,
-        deadline_s=now_s + limit_ms / _MILLISECONDS,
+        deadline_s=now_s + limit_ms / _MS_PER_S,
         tier_order=tier_order,
     )
 
 
-def identify(call: Call, method: str, host: str, path: str, body: bytes) -> Call:
-    """Return a call that tells which others ask for the same."""
+def add_fingerprint(call: Call, method: str, host: str, path: str, body: bytes) -> Call:
+    """Return the call with the fingerprint that identifies equal requests."""
     workspace = call.workspace.name if call.workspace is not None else ""
     return replace(call, fingerprint=compute_fingerprint(workspace, method, host, path, body))
 
@@ -217,16 +219,18 @@
 def make_outgoing(
     call: Call, names: HeaderNames, method: str, path: str, headers: Headers, body: bytes
 ) -> OutgoingRequest:
-    """Write a caller's request as it goes to targets."""
-    replaced = {names.key, names.workspace, names.deadline_ms, names.expected_target}
-    passed = filter_headers(headers, names.reserved | replaced)
+    """Make the request that is sent to targets, with the caller's headers filtered."""
+    replaced_names = {names.key, names.workspace, names.deadline_ms, names.expected_target}
+    passed_headers = filter_headers(headers, names.reserved | replaced_names)
     if call.workspace is not None:
-        passed.append((names.workspace, call.workspace.name))
-    return OutgoingRequest(call.request, method, path, passed, body, call.is_repeatable)
+        passed_headers.append((names.workspace, call.workspace.name))
+    return OutgoingRequest(call.request, method, path, passed_headers, body, call.is_repeatable)
 
 
-def resume_after(outgoing: OutgoingRequest, names: HeaderNames, last_id: str) -> OutgoingRequest:
-    """Return the request that goes on behind an event."""
+def add_resume_header(
+    outgoing: OutgoingRequest, names: HeaderNames, last_id: str
+) -> OutgoingRequest:
+    """Return the request with the header that resumes a stream after an event."""
     if not last_id:
         return outgoing
     headers = [(k, v) for k, v in outgoing.headers if k.lower() != names.resume]
--- a/troutstand/routing/lineclient.py
+++ b/troutstand/routing/lineclient.py
@@ -1,8 +1,8 @@
-"""Read and replace the content of a line by a majority of the keepers.
+"""Read and replace the content of a line through a quorum of the keepers.
 
-A line is the configuration or the rollout book. Each version has a register of its
-own, so that one number can only ever have one content; the highest version decided is
-in force. A keeper that knows a version to be decided refuses all that is at or below it.
+A line is a replicated, versioned document: the configuration or the rollout book. Each
+version has its own consensus register, so it has at most one content; the highest decided
+version is in force. Keepers refuse ballots for versions up to the highest known as decided.
 """
 
 from __future__ import annotations
@@ -31,42 +31,42 @@
     from troutstand.daemon.registers import RegisterClient
 
     Ask = Callable[[str, PeerMessage, float], Awaitable[PeerMessage]]
-    Learn = Callable[[StoredConfiguration], Awaitable[None]]
+    Install = Callable[[StoredConfiguration], Awaitable[None]]
 
-_ASK_S = 0.6
-_PAUSE_S = 0.03
+_REQUEST_TIMEOUT_S = 0.6
+_RETRY_INTERVAL_S = 0.03
 
 
 class LineClient:
-    """Drive reads and replacements from one keeper.
+    """Read and replace a line on behalf of one keeper.
 
     Parameters
     ----------
     ask
-        Asks a keeper, which may be this one.
-    learn
-        Makes a decided content known here and at the other keepers.
-    held
-        Returns the newest content known to be decided here.
-    line
-        Which line is read and replaced.
+        Sends a message to a keeper, which may be this one, and returns the reply.
+    install
+        Installs a decided content here and sends it to the other keepers.
+    get_current
+        Returns the newest decided content known here.
     timeout_s
-        How long a read or a replacement may take.
+        Timeout of a read or a replacement, in seconds.
+    line
+        The line to read and replace.
     """
 
     def __init__(
         self,
         ask: Ask,
         registers: RegisterClient,
-        learn: Learn,
-        held: Callable[[], StoredConfiguration],
+        install: Install,
+        get_current: Callable[[], StoredConfiguration],
         timeout_s: float,
         line: Line = Line.configuration,
     ) -> None:
         self._ask = ask
         self._registers = registers
-        self._learn = learn
-        self._held = held
+        self._install = install
+        self._get_current = get_current
         self._timeout_s = timeout_s
         self._line = line
 
@@ -76,58 +76,62 @@
         Raises
         ------
         TroutstandError
-            CONFIGURATION_UNKNOWN where no majority tells it in time.
+            CONFIGURATION_UNKNOWN if no quorum replies in time.
         """
         try:
             async with asyncio.timeout(self._timeout_s):
                 return await self._read()
         except TimeoutError as error:
-            raise TroutstandError(ResultCode.CONFIGURATION_UNKNOWN, "no majority") from error
+            raise TroutstandError(
+                ResultCode.CONFIGURATION_UNKNOWN, "no quorum of the keepers replied in time"
+            ) from error
 
-    async def replace(self, wanted: StoredConfiguration) -> StoredConfiguration:
+    async def replace(self, proposal: StoredConfiguration) -> StoredConfiguration:
         """Propose a content for its version and return what is in force afterwards.
 
         Raises
         ------
         TroutstandError
-            CONFIGURATION_UNKNOWN; the content may be in force later all the same.
+            CONFIGURATION_UNKNOWN; the proposed content may still be decided later.
         """
         try:
             async with asyncio.timeout(self._timeout_s):
-                return await self._replace(wanted)
+                return await self._replace(proposal)
         except TimeoutError as error:
-            raise TroutstandError(ResultCode.CONFIGURATION_UNKNOWN, "no majority") from error
+            raise TroutstandError(
+                ResultCode.CONFIGURATION_UNKNOWN, "no quorum of the keepers replied in time"
+            ) from error
 
-    async def _replace(self, wanted: StoredConfiguration) -> StoredConfiguration:
+    async def _replace(self, proposal: StoredConfiguration) -> StoredConfiguration:
         while True:
             newest = await self._read()
-            if newest.version >= wanted.version:
+            if newest.version >= proposal.version:
                 return newest
-            await self._decide(wanted.version, wanted.content)
+            await self._decide(proposal.version, proposal.content)
 
     async def _read(self) -> StoredConfiguration:
-        skipped: set[int] = set()
+        undecided: set[int] = set()
         while True:
             votes = await self._collect_votes()
             decided = max(vote.decided for vote in votes.values())
             accepted = max(
-                (v.accepted for v in votes.values() if v.accepted not in skipped), default=0
+                (v.accepted for v in votes.values() if v.accepted not in undecided), default=0
             )
             if accepted > decided:
-                # Perhaps decided without our knowing: finish it, or find it open.
+                # The accepted version may be decided: complete its ballot or skip it.
                 if not await self._decide(accepted, None):
-                    skipped.add(accepted)
+                    undecided.add(accepted)
                 continue
-            if decided > self._held().version:
-                holder = max(votes, key=lambda keeper: votes[keeper].decided)
-                await self._fetch(holder)
-                if decided > self._held().version:
-                    await asyncio.sleep(_PAUSE_S)
+            if decided > self._get_current().version:
+                source = max(votes, key=lambda keeper: votes[keeper].decided)
+                await self._fetch(source)
+                if decided > self._get_current().version:
+                    await asyncio.sleep(_RETRY_INTERVAL_S)
                 continue
-            return self._held()
+            return self._get_current()
 
     async def _collect_votes(self) -> dict[ProcessId, Newest]:
-        """Return the words of a majority of voters of one epoch."""
+        """Return the votes of a quorum of the voters of one epoch."""
         while True:
             if self._registers.keepers is None:
                 await self._registers.refresh_keepers()
@@ -136,38 +140,38 @@
             votes = await self._ask_voters(voters, epoch) if voters else {}
             if voters and len(votes) > len(voters) // 2 and epoch == self._registers.epoch:
                 return votes
-            await asyncio.sleep(_PAUSE_S)
+            await asyncio.sleep(_RETRY_INTERVAL_S)
 
     async def _ask_voters(
         self, voters: frozenset[ProcessId], epoch: int
     ) -> dict[ProcessId, Newest]:
         quorum = len(voters) // 2 + 1
         votes: dict[ProcessId, Newest] = {}
-        asks = [asyncio.create_task(self._ask_voter(voter, epoch)) for voter in sorted(voters)]
+        tasks = [asyncio.create_task(self._ask_voter(voter, epoch)) for voter in sorted(voters)]
         try:
-            for following in asyncio.as_completed(asks):
-                voter, vote = await following
+            for future in asyncio.as_completed(tasks):
+                voter, vote = await future
                 if vote is not None:
                     votes[voter] = vote
                 if len(votes) >= quorum:
                     break
         finally:
-            for ask in asks:
-                ask.cancel()
+            for task in tasks:
+                task.cancel()
         return votes
 
     async def _ask_voter(self, voter: ProcessId, epoch: int) -> tuple[ProcessId, Newest | None]:
         try:
-            reply = await self._ask(voter, NewestAsk(epoch, self._line), _ASK_S)
+            reply = await self._ask(voter, NewestAsk(epoch, self._line), _REQUEST_TIMEOUT_S)
         except TroutstandError:
-            # A silent voter has no vote; a missed majority raises its own error.
+            # A voter that does not reply has no vote; the caller checks the quorum.
             return voter, None
         if isinstance(reply, Refused):
             self._registers.learn_keepers(reply.keepers)
         return voter, reply if isinstance(reply, Newest) else None
 
     async def _decide(self, version: int, content: bytes | None) -> bool:
-        """Decide a version's content; without one, only finish what was begun.
+        """Decide a version's content; without a content, only complete an earlier ballot.
 
         Return whether the version is decided.
         """
@@ -182,41 +186,40 @@
         finally:
             decision.cancel()
         if decided is None:
-            return self._held().version >= version
-        await self._learn(StoredConfiguration(version, decided, self._line))
+            return self._get_current().version >= version
+        await self._install(StoredConfiguration(version, decided, self._line))
         return True
 
     async def _wait_decision(
         self, decision: asyncio.Task[bytes] | asyncio.Task[bytes | None], version: int
     ) -> bytes | None:
-        """Wait for a decision, or until a version as high is known to be in force.
+        """Wait for a decision, or until this or a later version is known as decided.
 
-        Keepers that know one refuse the register, which the ballots then
-        never get a majority for.
+        Keepers that know such a version refuse the register, so its ballots get no quorum.
         """
         while not decision.done():
-            await asyncio.wait([decision], timeout=_ASK_S / 2)
-            if not decision.done() and await self._is_settled(version):
+            await asyncio.wait([decision], timeout=_REQUEST_TIMEOUT_S / 2)
+            if not decision.done() and await self._is_decided_elsewhere(version):
                 return None
         try:
             return decision.result()
         except TroutstandError:
-            # The caller tries again until its own time is up, and then tells of it.
+            # The caller retries until its own timeout.
             return None
 
-    async def _is_settled(self, version: int) -> bool:
+    async def _is_decided_elsewhere(self, version: int) -> bool:
         epoch = self._registers.epoch
         votes = await self._ask_voters(list_voters(self._registers.keepers), epoch)
-        settled = [keeper for keeper, vote in votes.items() if vote.decided >= version]
-        if settled:
-            await self._fetch(settled[0])
-        return self._held().version >= version
+        sources = [keeper for keeper, vote in votes.items() if vote.decided >= version]
+        if sources:
+            await self._fetch(sources[0])
+        return self._get_current().version >= version
 
     async def _fetch(self, keeper: ProcessId) -> None:
         try:
-            reply = await self._ask(keeper, ConfigurationAsk(self._line), _ASK_S)
+            reply = await self._ask(keeper, ConfigurationAsk(self._line), _REQUEST_TIMEOUT_S)
         except TroutstandError:
-            # The keeper has gone since it voted; the caller sees that nothing came.
+            # The keeper did not reply; the caller checks the installed version.
             return
         if isinstance(reply, Learned):
-            await self._learn(StoredConfiguration(reply.version, reply.content, reply.line))
+            await self._install(StoredConfiguration(reply.version, reply.content, reply.line))
