--- a/troutstand/routing/httpclient.py
+++ b/troutstand/routing/httpclient.py
@@ -357,7 +357,7 @@
         self.counts.opened += 1
         return connection
 
-    async def is_gone(self, address: str) -> bool:
+    async def refuses_connections(self, address: str) -> bool:
         """Tell whether a target's process has ended, by whether its address refuses connections.
 
         Those that ask at once share one connection.
@@ -418,7 +418,7 @@
         self._idle.clear()
 
 
-def write_head(method: str, path: str, headers: Headers) -> bytes:
+def encode_request_head(method: str, path: str, headers: Headers) -> bytes:
     """Write a request's head."""
     lines = [f"{method} {path} HTTP/1.1", *(f"{name}: {value}" for name, value in headers), "", ""]
     return "\r\n".join(lines).encode("latin-1")
--- a/troutstand/routing/relay.py
+++ b/troutstand/routing/relay.py
@@ -13,7 +13,7 @@
 
 from troutstand.core.notices import parse_notice
 from troutstand.generated.messages import Ending, TargetNotice
-from troutstand.routing.httpclient import ExchangeError, write_head
+from troutstand.routing.httpclient import ExchangeError, encode_request_head
 from troutstand.util.clock import read_clock_s
 
 if TYPE_CHECKING:
@@ -235,7 +235,7 @@
         ]
         if outgoing.body or outgoing.method not in ("GET", "HEAD", "DELETE", "OPTIONS"):
             headers.append(("Content-Length", str(len(outgoing.body))))
-        return write_head(outgoing.method, outgoing.path, headers)
+        return encode_request_head(outgoing.method, outgoing.path, headers)
 
     def _check_head(
         self, outgoing: OutgoingRequest, head: ResponseHead, notice: TargetNotice
@@ -285,7 +285,7 @@
 
     async def is_gone(self, address: str) -> bool:
         """Tell whether a target's process has ended."""
-        return await self._pool.is_gone(address)
+        return await self._pool.refuses_connections(address)
 
     def release(self, sent: SentRequest) -> None:
         """Keep the connection of an answer that was read to its end."""
--- a/troutstand/routing/targetlist.py
+++ b/troutstand/routing/targetlist.py
@@ -17,7 +17,7 @@
     diff_target_lists,
 )
 from troutstand.generated.messages import ListedState
-from troutstand.routing.httpclient import ConnectionPool, ExchangeError, write_head
+from troutstand.routing.httpclient import ConnectionPool, ExchangeError, encode_request_head
 from troutstand.routing.targetpages import SoundEntries, SpoiledEntry, TargetPage
 from troutstand.util.clock import read_clock_s
 
@@ -166,7 +166,7 @@
     async def _get(self, token: str | None) -> bytes:
         connection = await self._pool.acquire(self._address)
         try:
-            head = write_head(
+            head = encode_request_head(
                 "GET", self._dialect.get_targets_path(token), [("Host", self._address)]
             )
             connection.send(head, b"", False)
