--- a/troutstand/routing/callhandler.py
+++ b/troutstand/routing/callhandler.py
@@ -1,4 +1,4 @@
-"""Take one request from its arrival to its answer."""
+"""Handle one call: place it, send it to targets, and relay the response."""
 
 from __future__ import annotations
 
@@ -26,60 +26,60 @@
     from troutstand.routing.relay import OutgoingRequest
 
 _EVENT_STREAM = "text/event-stream"
-_FIRST_SERVER_FAULT = 500
-_RETRY_SOON_S = 0.1
-_MAX_UNSENT = 4
-_MIN_SILENCE_S = 0.2
-_STREAM_SILENCE = 1.5
-_MIN_PAUSE_S = 0.5
-_PAUSE_FACTOR = 3.0
-_KEPT_BACK = frozenset({"date", "server"})
+_MIN_SERVER_ERROR_STATUS = 500
+_RETRY_AFTER_S = 0.1
+_MAX_UNSENT_ATTEMPTS = 4
+_MIN_RESPONSE_TIMEOUT_S = 0.2
+_STREAM_TIMEOUT_FACTOR = 1.5
+_MIN_EVENT_TIMEOUT_S = 0.5
+_EVENT_TIMEOUT_FACTOR = 3.0
+_DROPPED_HEADERS = frozenset({"date", "server"})
 
 
 class CallHandler:
-    """Hold one request's attempts and outcome."""
+    """Run the attempts of one call and respond to its caller."""
 
     def __init__(
         self, gateway: Gateway, request: web.BaseRequest, call: Call, outgoing: OutgoingRequest
     ) -> None:
         self._gateway = gateway
         self._request = request
-        self._answer = CallerResponse(request)
+        self._caller_response = CallerResponse(request)
         self._call = call
         self._outgoing = outgoing
-        self._arrivals = 0
-        self._unsent = 0
+        self._arrived_attempts = 0
+        self._unsent_attempts = 0
         self._excluded: list[str] = []
-        self._has_placed = False
+        self._was_placed = False
         self._may_have_run = False
-        self._last_fault: web.Response | None = None
-        self._first_s = -1.0
+        self._last_error_response: web.Response | None = None
+        self._first_byte_s = -1.0
         self._splitter: EventSplitter | None = None
-        self._produced = 0
+        self._event_count = 0
         self._waited_ms = 0.0
         self._longest_pause_s = 0.0
-        self._suspends = SuspendWatch()
+        self._suspend_watch = SuspendWatch()
 
     @property
-    def _can_repeat(self) -> bool:
-        return self._call.is_repeatable and self._arrivals < self._call.route.attempts
+    def _can_retry(self) -> bool:
+        return self._call.is_repeatable and self._arrived_attempts < self._call.route.attempts
 
     async def run(self) -> web.StreamResponse:
-        """Return the answer, at the latest when the request's time is up."""
+        """Return the response, at the latest at the deadline of the request."""
         call = self._call
-        left_s = call.deadline_s - read_clock_s()
+        remaining_s = call.deadline_s - read_clock_s()
         try:
-            async with asyncio.timeout(left_s):
+            async with asyncio.timeout(remaining_s):
                 response = await self._attempt_all()
         except TimeoutError:
-            response = self._refuse_late()
+            response = self._refuse_expired()
         except asyncio.CancelledError:
-            self._note_cancelled()
+            self._log_cancelled()
             raise
         return response
 
-    def _note_cancelled(self) -> None:
-        """Log who ended the request: its caller, or the end of a planned stop."""
+    def _log_cancelled(self) -> None:
+        """Log whether the caller disconnected or a planned stop aborted the request."""
         if self._gateway.is_aborting:
             self._emit("request_cut", ResultCode.DRAINING, 0)
         else:
@@ -95,39 +95,39 @@
             try:
                 return await self._attempt(placed)
             except SendError as error:
-                self._note_failure(placed, error)
-                if not self._should_try_again(error):
+                self._record_failure(placed, error)
+                if not self._should_retry(error):
                     return self._refuse_failed(error)
 
     async def _place(self) -> Placed | Declined:
         work = self._call.create_work(
             read_clock_s(),
-            self._arrivals + 1,
+            self._arrived_attempts + 1,
             self._excluded,
-            not self._has_placed,
+            not self._was_placed,
             self._gateway.settings.failure_domain,
-            self._answer.has_started,
+            self._caller_response.has_started,
         )
-        answer = await self._gateway.placement.place(work)
-        if isinstance(answer, Placed):
-            self._has_placed = True
-            self._waited_ms += answer.waited_ms
-            waited_s = answer.waited_ms / 1000.0
-            self._gateway.metrics.waited_s.labels(*self._labels()).observe(waited_s)
-        return answer
-
-    def _labels(self) -> tuple[str, str]:
+        decision = await self._gateway.placement.place(work)
+        if isinstance(decision, Placed):
+            self._was_placed = True
+            self._waited_ms += decision.waited_ms
+            waited_s = decision.waited_ms / 1000.0
+            self._gateway.metrics.waited_s.labels(*self._get_metric_labels()).observe(waited_s)
+        return decision
+
+    def _get_metric_labels(self) -> tuple[str, str]:
         return self._call.route.kind.value, str(self._call.route.tier)
 
     async def _attempt(self, placed: Placed) -> web.StreamResponse:
         started_s = read_clock_s()
         ending = Ending.left
         is_gone = False
-        self._first_s = -1.0
-        self._produced = 0
-        self._suspends = SuspendWatch()
+        self._first_byte_s = -1.0
+        self._event_count = 0
+        self._suspend_watch = SuspendWatch()
         try:
-            response, ending = await self._exchange(placed)
+            response, ending = await self._send_and_relay(placed)
         except SendError as error:
             ending = error.ending
             if ending is Ending.broken and not error.is_target_gone:
@@ -135,63 +135,64 @@
             is_gone = error.is_target_gone
             raise
         finally:
-            self._end(placed, ending, started_s, is_gone)
+            self._report_end(placed, ending, started_s, is_gone)
         return response
 
-    def _end(self, placed: Placed, ending: Ending, started_s: float, is_gone: bool) -> None:
-        # What was measured while this host was suspended says nothing of the target.
-        is_measured = self._suspends.pop_suspended_s() < MIN_SUSPEND_S
+    def _report_end(self, placed: Placed, ending: Ending, started_s: float, is_gone: bool) -> None:
+        # Times that include a suspend of this host are not reported.
+        is_measured = self._suspend_watch.pop_suspended_s() < MIN_SUSPEND_S
         ended = Ended(
             self._call.request,
             placed.target,
             ending,
-            first_s=self._first_s if is_measured else -1.0,
+            first_s=self._first_byte_s if is_measured else -1.0,
             total_s=read_clock_s() - started_s if is_measured else -1.0,
             longest_pause_s=self._longest_pause_s,
-            produced_events=self._produced,
+            produced_events=self._event_count,
             is_target_gone=is_gone,
             fingerprint=self._call.fingerprint if ending is Ending.broken else "",
         )
         self._gateway.placement.finish(ended)
         self._gateway.metrics.endings.labels(ending.value).inc()
 
-    async def _exchange(self, placed: Placed) -> tuple[web.StreamResponse, Ending]:
+    async def _send_and_relay(self, placed: Placed) -> tuple[web.StreamResponse, Ending]:
         sent = await self._send(placed)
-        if self._answer.has_started and not self._fits_begun(sent):
-            # Passed on, this answer would stand with a head of its own amid the events that
-            # the caller reads: 1 of 13 broken attempts where engines fail a third of their
-            # requests (counted in the logs). The stream goes on at another target or is
-            # broken off.
+        if self._caller_response.has_started and not self._continues_response(sent):
+            # The caller already has a response head, so only events can follow.
             sent.connection.abort()
-            raise SendError(Ending.failed, "no events that go on with a stream", sent.head.status)
+            raise SendError(
+                Ending.failed, "the response does not continue the event stream", sent.head.status
+            )
         if _is_stream(sent):
             return await self._stream(sent)
-        self._note_first(sent, sent.first_s)
+        self._record_first_byte(sent, sent.first_s)
         body = await self._gateway.sender.read_body(sent)
-        response = self._make_whole(sent, body)
-        if sent.head.status >= _FIRST_SERVER_FAULT:
-            if self._can_try_another():
-                self._last_fault = response
-                raise SendError(Ending.failed, "a fault of the target's own", sent.head.status)
-            return self._finish(response, sent), Ending.failed
-        return self._finish(response, sent), Ending.whole
-
-    def _fits_begun(self, sent: SentRequest) -> bool:
-        """Tell whether an answer may follow what the caller has of the one that has begun."""
-        return _is_stream(sent) and sent.head.status == self._answer.response.status
-
-    def _can_try_another(self) -> bool:
-        has_attempts = self._arrivals + 1 < self._call.route.attempts
-        return self._call.is_repeatable and has_attempts and self._can_be_continued
+        response = self._make_full_response(sent, body)
+        if sent.head.status >= _MIN_SERVER_ERROR_STATUS:
+            if self._can_fail_over():
+                self._last_error_response = response
+                raise SendError(
+                    Ending.failed, "the target responded with a server error", sent.head.status
+                )
+            return self._record_answered(response, sent), Ending.failed
+        return self._record_answered(response, sent), Ending.whole
+
+    def _continues_response(self, sent: SentRequest) -> bool:
+        """Return whether a response can continue the one that the caller is receiving."""
+        return _is_stream(sent) and sent.head.status == self._caller_response.response.status
+
+    def _can_fail_over(self) -> bool:
+        has_attempts = self._arrived_attempts + 1 < self._call.route.attempts
+        return self._call.is_repeatable and has_attempts and self._can_resume
 
     @property
-    def _can_be_continued(self) -> bool:
-        """Tell whether another target can add to what the caller has.
+    def _can_resume(self) -> bool:
+        """Return whether another target can continue the response.
 
-        Once an answer has begun, only events behind one whose id is known can: all else
-        would come twice.
+        A started response can only be resumed after an event with a known id; otherwise
+        events would be repeated.
         """
-        if not self._answer.has_started:
+        if not self._caller_response.has_started:
             return True
         splitter = self._splitter
         return splitter is not None and splitter.can_resume and bool(splitter.last_id)
@@ -203,32 +204,34 @@
                 outgoing, self._gateway.dialect.headers, self._splitter.last_id
             )
         sending = self._gateway.sender.send(outgoing, placed, self._call.deadline_s)
-        if not self._can_try_another():
+        if not self._can_fail_over():
             return await sending
         try:
-            async with asyncio.timeout(self._measure_silence()):
+            async with asyncio.timeout(self._compute_response_timeout()):
                 return await sending
         except TimeoutError as error:
-            raise SendError(Ending.silent, "no answer in time, another target may") from error
+            raise SendError(
+                Ending.silent, "the target sent no response in time; another can be tried"
+            ) from error
 
-    def _measure_silence(self) -> float:
-        """Return how long a target may be silent while another could be tried."""
+    def _compute_response_timeout(self) -> float:
+        """Return the seconds to wait for a response before another target is tried."""
         objective_s = self._call.objective_s
         if self._call.route.kind is RouteKind.streaming:
-            objective_s *= _STREAM_SILENCE
-        return max(_MIN_SILENCE_S, objective_s)
+            objective_s *= _STREAM_TIMEOUT_FACTOR
+        return max(_MIN_RESPONSE_TIMEOUT_S, objective_s)
 
-    def _note_first(self, sent: SentRequest, first_s: float) -> None:
-        self._first_s = first_s
-        is_measured = self._suspends.peek_suspended_s() < MIN_SUSPEND_S
-        told_s = first_s if is_measured else -1.0
-        self._gateway.placement.record_first_byte(self._call.request, told_s)
+    def _record_first_byte(self, sent: SentRequest, first_s: float) -> None:
+        self._first_byte_s = first_s
+        is_measured = self._suspend_watch.peek_suspended_s() < MIN_SUSPEND_S
+        reported_s = first_s if is_measured else -1.0
+        self._gateway.placement.record_first_byte(self._call.request, reported_s)
 
-    def _note_failure(self, placed: Placed, error: SendError) -> None:
+    def _record_failure(self, placed: Placed, error: SendError) -> None:
         if error.may_have_arrived:
-            self._arrivals += 1
+            self._arrived_attempts += 1
         else:
-            self._unsent += 1
+            self._unsent_attempts += 1
         self._may_have_run = self._may_have_run or error.may_have_run
         self._excluded = [*self._excluded, placed.target][-16:]
         self._gateway.node.events.emit(
@@ -245,64 +248,66 @@
             leaving=error.notice.is_leaving or None,
             limit_per_s=error.notice.limit_per_s,
             fingerprint=self._call.fingerprint,
-            begun_ms=self._measure_begun(),
-            arrivals=self._arrivals,
+            begun_ms=self._get_response_start_ms(),
+            arrivals=self._arrived_attempts,
         )
 
-    def _should_try_again(self, error: SendError) -> bool:
-        if self._answer.has_started and not (self._can_repeat and self._can_be_continued):
+    def _should_retry(self, error: SendError) -> bool:
+        if self._caller_response.has_started and not (self._can_retry and self._can_resume):
             return False
         if not error.may_have_arrived:
-            return self._unsent <= _MAX_UNSENT
+            return self._unsent_attempts <= _MAX_UNSENT_ATTEMPTS
         if not error.may_have_run and not self._may_have_run:
-            return self._arrivals < self._call.route.attempts
-        return self._can_repeat
+            return self._arrived_attempts < self._call.route.attempts
+        return self._can_retry
 
-    # Answers
+    # Responses
 
     def _make_headers(self, sent: SentRequest) -> CIMultiDict[str]:
-        kept = filter_headers(sent.head.headers, _KEPT_BACK)
-        return CIMultiDict(kept)
+        passed_headers = filter_headers(sent.head.headers, _DROPPED_HEADERS)
+        return CIMultiDict(passed_headers)
 
-    def _make_whole(self, sent: SentRequest, body: bytes) -> web.Response:
+    def _make_full_response(self, sent: SentRequest, body: bytes) -> web.Response:
         return web.Response(status=sent.head.status, headers=self._make_headers(sent), body=body)
 
-    def _finish(self, response: web.StreamResponse, sent: SentRequest) -> web.StreamResponse:
+    def _record_answered(
+        self, response: web.StreamResponse, sent: SentRequest
+    ) -> web.StreamResponse:
         first_s = read_clock_s() - self._call.arrived_s
-        self._gateway.metrics.first_s.labels(*self._labels()).observe(first_s)
+        self._gateway.metrics.first_s.labels(*self._get_metric_labels()).observe(first_s)
         self._emit("request_answered", ResultCode.OK, response.status, target=sent.placed.target)
         return response
 
     async def _stream(self, sent: SentRequest) -> tuple[web.StreamResponse, Ending]:
         splitter = self._start_splitter()
-        end = EventBoundaryTracker()
-        began = False
+        boundary = EventBoundaryTracker()
+        has_data = False
         chunks = sent.connection.receive_chunks()
         try:
             while True:
-                asked_s = read_clock_s()
+                waiting_since_s = read_clock_s()
                 chunk = await self._next_chunk(chunks)
                 if chunk is None:
                     break
-                if began:
-                    pause_s = read_clock_s() - asked_s
+                if has_data:
+                    pause_s = read_clock_s() - waiting_since_s
                     self._longest_pause_s = max(self._longest_pause_s, pause_s)
-                if not began:
-                    began = True
-                    self._note_first(sent, read_clock_s() - sent.started_s)
-                self._produced += chunk.count(b"\n\n")
-                end.feed(chunk)
+                if not has_data:
+                    has_data = True
+                    self._record_first_byte(sent, read_clock_s() - sent.started_s)
+                self._event_count += chunk.count(b"\n\n")
+                boundary.feed(chunk)
                 data = splitter.feed(chunk) if splitter else chunk
                 if data:
-                    await self._write(sent, data)
-            if not sent.connection.is_framed and not end.is_between_events:
-                raise SendError(Ending.broken, "the connection ended within an event")
+                    await self._write_body(sent, data)
+            if not sent.connection.is_framed and not boundary.is_between_events:
+                raise SendError(Ending.broken, "the connection closed within an event")
             if splitter:
-                rest = splitter.take_rest()
-                if rest:
-                    await self._write(sent, rest)
-            await self._begin(sent)
-            await self._answer.complete()
+                remainder = splitter.take_remainder()
+                if remainder:
+                    await self._write_body(sent, remainder)
+            await self._start_response(sent)
+            await self._caller_response.complete()
         except (ExchangeError, SendError) as error:
             sent.connection.abort()
             if splitter:
@@ -313,7 +318,7 @@
             sent.connection.abort()
             raise
         self._gateway.sender.release(sent)
-        return self._finish(self._answer.response, sent), Ending.whole
+        return self._record_answered(self._caller_response.response, sent), Ending.whole
 
     def _start_splitter(self) -> EventSplitter | None:
         if not self._call.route.resumable:
@@ -326,61 +331,71 @@
 
     async def _next_chunk(self, chunks) -> bytes | None:  # type: ignore[no-untyped-def]
         pending = anext(chunks, None)
-        if not self._can_try_another():
+        if not self._can_fail_over():
             return await pending
         pause_s = self._call.route.pause_ms / 1000.0
-        limit_s = max(_MIN_PAUSE_S, _PAUSE_FACTOR * pause_s)
+        timeout_s = max(_MIN_EVENT_TIMEOUT_S, _EVENT_TIMEOUT_FACTOR * pause_s)
         try:
-            async with asyncio.timeout(limit_s):
+            async with asyncio.timeout(timeout_s):
                 return await pending
         except TimeoutError as error:
-            raise SendError(Ending.silent, "the stream stands still") from error
+            raise SendError(Ending.silent, "the target sent no data in time") from error
 
-    async def _begin(self, sent: SentRequest) -> None:
-        """Write the head, once; a target that goes on with the stream adds none."""
-        if self._answer.has_started:
+    async def _start_response(self, sent: SentRequest) -> None:
+        """Write the response head unless it is already written."""
+        if self._caller_response.has_started:
             return
         headers = self._make_headers(sent)
-        await self._answer.start(sent.head.status, headers, self._gateway.is_stopping)
+        await self._caller_response.start(sent.head.status, headers, self._gateway.is_stopping)
 
-    async def _write(self, sent: SentRequest, data: bytes) -> None:
-        await self._begin(sent)
-        await self._answer.write(data)
+    async def _write_body(self, sent: SentRequest, data: bytes) -> None:
+        await self._start_response(sent)
+        await self._caller_response.write(data)
 
     # Refusals
 
     def _refuse_declined(self, declined: Declined) -> web.StreamResponse:
-        if self._answer.has_started:
-            return self._break_off(ResultCode(declined.code), declined.reason)
-        if self._last_fault is not None:
-            self._emit("request_answered", ResultCode.TARGET_FAULT, self._last_fault.status)
-            return self._last_fault
+        if self._caller_response.has_started:
+            return self._abort_response(ResultCode(declined.code), declined.reason)
+        if self._last_error_response is not None:
+            self._emit(
+                "request_answered", ResultCode.TARGET_FAULT, self._last_error_response.status
+            )
+            return self._last_error_response
         if self._may_have_run and not self._call.is_repeatable:
             return self._refuse(ResultCode.TARGET_UNREACHABLE, declined.reason, None)
         if self._may_have_run:
-            # A refusal for want of a target says that the request has not run.
-            reason = f"{declined.reason}, after an attempt"
+            # The code of the declined placement would state that the request has not run.
+            reason = f"{declined.reason}, after an attempt that may have run"
             return self._refuse(ResultCode.ANSWER_CUT, reason, declined.retry_after_s)
         return self._refuse(ResultCode(declined.code), declined.reason, declined.retry_after_s)
 
     def _refuse_failed(self, error: SendError) -> web.StreamResponse:
-        if self._answer.has_started:
-            return self._break_off(ResultCode.ANSWER_CUT, error.detail)
-        if self._last_fault is not None:
-            self._emit("request_answered", ResultCode.TARGET_FAULT, self._last_fault.status)
-            return self._last_fault
+        if self._caller_response.has_started:
+            return self._abort_response(ResultCode.ANSWER_CUT, error.detail)
+        if self._last_error_response is not None:
+            self._emit(
+                "request_answered", ResultCode.TARGET_FAULT, self._last_error_response.status
+            )
+            return self._last_error_response
         if not self._may_have_run:
-            return self._refuse(ResultCode.NO_TARGET, error.detail, _RETRY_SOON_S)
+            return self._refuse(ResultCode.NO_TARGET, error.detail, _RETRY_AFTER_S)
         return self._refuse(ResultCode.ANSWER_CUT, error.detail, None)
 
-    def _refuse_late(self) -> web.StreamResponse:
-        if self._answer.has_started:
-            return self._break_off(ResultCode.TARGET_TIMEOUT, "the request's time is up")
-        if self._has_placed:
-            # Its target may work on it now.
+    def _refuse_expired(self) -> web.StreamResponse:
+        if self._caller_response.has_started:
+            return self._abort_response(
+                ResultCode.TARGET_TIMEOUT, "the request reached its deadline"
+            )
+        if self._was_placed:
+            # The target may still be processing the request.
             self._may_have_run = True
-            return self._refuse(ResultCode.TARGET_TIMEOUT, "the request's time is up", None)
-        return self._refuse(ResultCode.SHED_DEADLINE, "no target in time", _RETRY_SOON_S)
+            return self._refuse(ResultCode.TARGET_TIMEOUT, "the request reached its deadline", None)
+        return self._refuse(
+            ResultCode.SHED_DEADLINE,
+            "no target became available before the deadline",
+            _RETRY_AFTER_S,
+        )
 
     def _refuse(
         self, code: ResultCode, detail: str, retry_after_s: float | None
@@ -390,21 +405,21 @@
         self._emit("request_refused", code, response.status, detail=detail)
         return response
 
-    def _break_off(self, code: ResultCode, detail: str) -> web.StreamResponse:
-        """End a stream that cannot be completed."""
-        response = self._answer.abort()
+    def _abort_response(self, code: ResultCode, detail: str) -> web.StreamResponse:
+        """Abort a response that cannot be completed."""
+        response = self._caller_response.abort()
         self._emit("stream_broken_off", code, response.status, detail=detail)
         return response
 
-    def _measure_begun(self) -> float | None:
-        """Return the milliseconds until the caller got the beginning of its answer."""
-        begun_s = self._answer.started_s
-        return None if begun_s is None else (begun_s - self._call.arrived_s) * 1000.0
+    def _get_response_start_ms(self) -> float | None:
+        """Return the milliseconds from arrival to the start of the response, if it started."""
+        started_s = self._caller_response.started_s
+        return None if started_s is None else (started_s - self._call.arrived_s) * 1000.0
 
     def _emit(self, name: str, code: ResultCode, status: int, **fields: str) -> None:
         call = self._call
         now_s = read_clock_s()
-        self._gateway.metrics.answers.labels(*self._labels(), str(int(code))).inc()
+        self._gateway.metrics.answers.labels(*self._get_metric_labels(), str(int(code))).inc()
         self._gateway.node.events.emit(
             name,
             call.request,
@@ -417,10 +432,10 @@
             total_ms=(now_s - call.arrived_s) * 1000.0,
             objective_ms=call.objective_s * 1000.0,
             waited_ms=self._waited_ms,
-            first_ms=self._first_s * 1000.0 if self._first_s >= 0 else None,
+            first_ms=self._first_byte_s * 1000.0 if self._first_byte_s >= 0 else None,
             pause_ms=self._longest_pause_s * 1000.0 if self._longest_pause_s else None,
-            begun_ms=self._measure_begun(),
-            arrivals=self._arrivals,
+            begun_ms=self._get_response_start_ms(),
+            arrivals=self._arrived_attempts,
             decider=self._gateway.placement.decider,
             fingerprint=call.fingerprint,
             **fields,
--- a/troutstand/routing/eventstreams.py
+++ b/troutstand/routing/eventstreams.py
@@ -1,94 +1,92 @@
-"""Split a stream of server-sent events so that it can be resumed elsewhere."""
+"""Split a stream of server-sent events so that another target can resume it."""
 
 from __future__ import annotations
 
 import re
 
-_BOUNDARY = re.compile(rb"\r?\n\r?\n")
-_ID = re.compile(rb"^id:[ ]?([^\r\n]*)", re.MULTILINE)
-_DATA = re.compile(rb"^data", re.MULTILINE)
-# The endings of an event, and the bytes of the longest of them.
-_ENDINGS = (b"\n\n", b"\n\r\n")
-_TAIL_BYTES = 3
+_EVENT_BOUNDARY = re.compile(rb"\r?\n\r?\n")
+_ID_FIELD = re.compile(rb"^id:[ ]?([^\r\n]*)", re.MULTILINE)
+_DATA_FIELD = re.compile(rb"^data", re.MULTILINE)
+_EVENT_ENDINGS = (b"\n\n", b"\n\r\n")
+_MAX_ENDING_BYTES = 3
 
 
 class EventSplitter:
-    """Hold back an event until it is whole, and remember the last id passed on.
+    """Buffer partial events and track the id of the last complete one.
 
-    Whoever goes on with a stream may begin too early; without dropping what was passed
-    on already, its caller reads those events twice. Ids that are no whole numbers cannot
-    be compared: what comes under them is passed on.
+    A resumed stream may repeat events that the caller already has; these are dropped.
+    Events with ids that are not decimal numbers cannot be compared and are passed on.
 
     Parameters
     ----------
     last_id
-        Where the caller's own stream goes on from; empty at its beginning.
+        Id of the last event that the caller has; empty for a new stream.
     """
 
     def __init__(self, last_id: str = "") -> None:
         self.last_id = last_id
-        # Whether every event with data so far had an id; only then can others go on.
+        # False once an event with data has no id, so that its position is unknown.
         self.can_resume = True
-        self._resumed_behind = last_id
-        self._rest = b""
+        self._resume_id = last_id
+        self._buffer = b""
 
     def feed(self, data: bytes) -> bytes:
-        """Take bytes and return the whole events among them that were not passed on yet."""
-        self._rest += data
+        """Add data and return the complete events that the caller does not have yet."""
+        self._buffer += data
         events: list[bytes] = []
         start = 0
-        for match in _BOUNDARY.finditer(self._rest):
-            event, start = self._rest[start : match.end()], match.end()
-            if self._take(event):
+        for match in _EVENT_BOUNDARY.finditer(self._buffer):
+            event, start = self._buffer[start : match.end()], match.end()
+            if self._record_event(event):
                 events.append(event)
-        self._rest = self._rest[start:]
+        self._buffer = self._buffer[start:]
         return b"".join(events)
 
-    def _take(self, event: bytes) -> bool:
-        """Note an event that is passed on; tell whether it comes for the first time."""
-        found = _ID.search(event)
-        if found is None:
-            if _DATA.search(event):
+    def _record_event(self, event: bytes) -> bool:
+        """Record the id of an event and return whether the event is new."""
+        id_match = _ID_FIELD.search(event)
+        if id_match is None:
+            if _DATA_FIELD.search(event):
                 self.can_resume = False
             return True
-        event_id = found[1].decode("latin-1").strip()
-        if not _is_behind(event_id, self._resumed_behind):
+        event_id = id_match[1].decode("latin-1").strip()
+        if not _is_after(event_id, self._resume_id):
             return False
         self.last_id = event_id
         return True
 
     def resume(self) -> None:
-        """Expect the stream to go on behind the last event that was passed on."""
-        self._resumed_behind = self.last_id
+        """Drop events up to the last id, which a resumed stream may repeat."""
+        self._resume_id = self.last_id
 
     def drop_partial(self) -> None:
-        """Forget an event that broke off."""
-        self._rest = b""
+        """Discard an incomplete event."""
+        self._buffer = b""
 
-    def take_rest(self) -> bytes:
-        """Return what stands behind the last whole event."""
-        rest, self._rest = self._rest, b""
-        return rest
+    def take_remainder(self) -> bytes:
+        """Return and clear the data after the last complete event."""
+        remainder, self._buffer = self._buffer, b""
+        return remainder
 
 
-def _is_behind(event_id: str, last_id: str) -> bool:
-    """Tell whether an event follows another; ids that are no numbers are taken to."""
+def _is_after(event_id: str, last_id: str) -> bool:
+    """Return whether an event follows another; True if an id is not a number."""
     if event_id.isdecimal() and last_id.isdecimal():
         return int(event_id) > int(last_id)
     return True
 
 
 class EventBoundaryTracker:
-    """Tell whether a stream stands between two events."""
+    """Track whether a stream ends at an event boundary."""
 
     def __init__(self) -> None:
         self._tail = b""
 
     def feed(self, data: bytes) -> None:
-        """Take a piece of the stream."""
-        self._tail = (self._tail + data)[-_TAIL_BYTES:]
+        """Add a chunk of the stream."""
+        self._tail = (self._tail + data)[-_MAX_ENDING_BYTES:]
 
     @property
     def is_between_events(self) -> bool:
-        """Tell whether nothing came behind the last whole event."""
-        return not self._tail or self._tail.endswith(_ENDINGS)
+        """Return whether no data follows the last complete event."""
+        return not self._tail or self._tail.endswith(_EVENT_ENDINGS)
