--- a/benchmarks/decider.py
+++ b/benchmarks/decider.py
@@ -35,7 +35,7 @@
 )
 from troutstand.generated.routing import RoutingRole
 from troutstand.generated.settings import Limits
-from troutstand.routing.node import name_routing_process, parse_address
+from troutstand.routing.node import make_process_id, parse_address
 from troutstand.testing.routedsite import (
     LINK_KEY_HEX,
     ConfigurationPlan,
@@ -84,7 +84,7 @@
         self._links: list[Link] = []
         for number in range(_GATEWAYS):
             ip = f"127.{_SUBNET}.{number + 100}"
-            name = name_routing_process(RoutingRole.gateway, ip, parse_address(scheduler).port)
+            name = make_process_id(RoutingRole.gateway, ip, parse_address(scheduler).port)
             events = EventBus(name, HybridClock(time.time))
             identity = Identity("test", name, bytes.fromhex(LINK_KEY_HEX))
             address = parse_address(scheduler)
@@ -200,7 +200,7 @@
 
         await wait_until(has_list, "the scheduler knows targets and configuration")
         ip = scheduler.settings.ip
-        name = name_routing_process(RoutingRole.scheduler, ip, scheduler.settings.first_port)
+        name = make_process_id(RoutingRole.scheduler, ip, scheduler.settings.first_port)
         gateways = PlayedGateways(name)
         await gateways.attach()
         assert scheduler.child is not None
--- a/troutstand/routing/follower.py
+++ b/troutstand/routing/follower.py
@@ -65,18 +65,18 @@
     @property
     def is_fresh(self) -> bool:
         """Tell whether a keeper answered since the host was last suspended."""
-        return self._answered_s >= self._node.woken_s
+        return self._answered_s >= self._node.resumed_s
 
     async def run(self) -> None:
         """Stay in touch until cancelled."""
         while True:
-            self._node.forget_silent(read_clock_s())
-            answered = await self.ask_next()
-            self._note_touch(answered)
+            self._node.expire_contacts(read_clock_s())
+            answered = await self.ask_next_keeper()
+            self._record_contact(answered)
             pause_s = _PERIOD_S * (0.75 + 0.5 * self._node.random.random())
             await asyncio.sleep(pause_s if answered else pause_s / 6)
 
-    def _note_touch(self, answered: bool) -> None:
+    def _record_contact(self, answered: bool) -> None:
         now_s = read_clock_s()
         if answered:
             self._answered_s = now_s
@@ -93,9 +93,9 @@
         if known:
             return known
         ips = {parse_address(seed).ip for seed in self._node.settings.seeds}
-        return sorted(self._node.name_peer(role, ip) for ip in ips)
+        return sorted(self._node.make_peer_id(role, ip) for ip in ips)
 
-    async def ask_next(self) -> bool:
+    async def ask_next_keeper(self) -> bool:
         """Ask one keeper; tell whether it answered in time."""
         keepers = self._list_keepers()
         if not keepers:
@@ -103,7 +103,7 @@
         self._turn += 1
         keeper = keepers[self._turn % len(keepers)]
         ask = ContactAsk(
-            self._node.describe(self.version),
+            self._node.make_contact(self.version),
             known_digest=self._digest,
             rollouts_version=self.rollouts.version,
         )
@@ -133,7 +133,7 @@
     def _revive_seeds(self) -> None:
         now_s = read_clock_s()
         for seed in self._node.settings.seeds:
-            process = self._node.name_peer(RoutingRole.keeper, parse_address(seed).ip)
+            process = self._node.make_peer_id(RoutingRole.keeper, parse_address(seed).ip)
             if self._node.contacts.find(process) is None:
                 contact = Contact(
                     process=process,
--- a/troutstand/routing/gateway.py
+++ b/troutstand/routing/gateway.py
@@ -74,14 +74,14 @@
 
     async def start(self) -> None:
         """Open the listening addresses and start the background tasks."""
-        self.node.open_events()
+        self.node.start_event_log()
         await self._listen_callers()
         await self._listen_readiness()
         self.node.state = ProcessState.serving
         self.node.spawn(self.follower.run(), "follower")
         self.placement.start()
         self.node.spawn(self._run_pruning(), "upkeep")
-        await self.node.open_metrics()
+        await self.node.start_metrics()
 
     async def _listen_callers(self) -> None:
         server = web.Server(
--- a/troutstand/routing/heartbeats.py
+++ b/troutstand/routing/heartbeats.py
@@ -31,7 +31,7 @@
 _WATCH_S = 0.1
 
 
-class Listener(Protocol):
+class HeartbeatListener(Protocol):
     """Take what heartbeats show."""
 
     def switch_decider(self, before: Decider) -> None:
@@ -51,7 +51,7 @@
 class Heartbeats:
     """Watch the schedulers for one gateway, which asks one of them or decides alone."""
 
-    def __init__(self, node: RoutingNode, listener: Listener) -> None:
+    def __init__(self, node: RoutingNode, listener: HeartbeatListener) -> None:
         self.current: Decider = LocalDecider.LOCAL
         self._node = node
         self._listener = listener
@@ -87,7 +87,7 @@
     def _change(self, decider: Decider) -> None:
         if not isinstance(self.current, LocalDecider) and not self._is_live(self.current):
             # A standby may be silent for longer than one's own scheduler; this one was left.
-            self.miss(self.current)
+            self.mark_lost(self.current)
         before, self.current = self.current, decider
         self._listener.switch_decider(before)
 
@@ -101,7 +101,7 @@
                 self._node.spawn(self._follow(process), f"watch {process}")
         for process in set(self._watches) - set(known):
             del self._watches[process]
-            self._node.drop_link(process)
+            self._node.close_link(process)
 
     def _list_schedulers(self) -> list[ProcessId]:
         """Return the schedulers that are known, and those found on the seeds' hosts.
@@ -112,7 +112,7 @@
         """
         known = set(self._node.contacts.list_by_role(RoutingRole.scheduler.value))
         ips = {parse_address(seed).ip for seed in self._node.settings.seeds}
-        guessed = {self._node.name_peer(RoutingRole.scheduler, ip) for ip in ips}
+        guessed = {self._node.make_peer_id(RoutingRole.scheduler, ip) for ip in ips}
         found = {process for process in guessed if self._is_live(process)}
         return sorted(known | found if known else guessed)
 
@@ -122,7 +122,7 @@
         watch = self._watches.get(process)
         return watch is not None and watch.is_live(read_clock_s())
 
-    def miss(self, process: ProcessId) -> None:
+    def mark_lost(self, process: ProcessId) -> None:
         """Take a scheduler for lost until it answers again."""
         watch = self._watches.get(process)
         if watch is not None:
@@ -137,15 +137,15 @@
         0.07 s (from the logs of 16 gateways).
         """
         if process in self._watches:
-            self.miss(process)
+            self.mark_lost(process)
 
-    def note_asked(self, process: ProcessId) -> None:
+    def record_request(self, process: ProcessId) -> None:
         """Note that a scheduler was asked something."""
         watch = self._watches.get(process)
         if watch is not None:
             watch.record_request(read_clock_s())
 
-    def note_answered(self, process: ProcessId) -> None:
+    def record_response(self, process: ProcessId) -> None:
         """Take a scheduler's answer as a sign of life."""
         watch = self._watches.get(process)
         if watch is not None:
--- a/troutstand/routing/keeper.py
+++ b/troutstand/routing/keeper.py
@@ -43,10 +43,10 @@
 )
 from troutstand.generated.routing import RoutingRole
 from troutstand.routing.control import Control
-from troutstand.routing.journal import MendingJournal
+from troutstand.routing.keeperreplacement import KeeperReplacement
 from troutstand.routing.lineclient import LineClient
-from troutstand.routing.node import RoutingNode, name_routing_process, parse_address
-from troutstand.routing.replacement import Replacement
+from troutstand.routing.node import RoutingNode, make_process_id, parse_address
+from troutstand.routing.recoveringjournal import RecoveringJournal
 from troutstand.routing.rolloutline import RolloutLine, decode_book
 from troutstand.util.clock import read_clock_s
 
@@ -85,7 +85,7 @@
         if error.code is not ResultCode.DATA_FOLDER_UNFORMATTED:
             raise
     seeds = [
-        name_routing_process(RoutingRole.keeper, parse_address(seed).ip, settings.first_port)
+        make_process_id(RoutingRole.keeper, parse_address(seed).ip, settings.first_port)
         for seed in settings.seeds
     ]
     disk_id = secrets.token_hex(_DISK_ID_BYTES)
@@ -110,7 +110,7 @@
         for record in self.storage.loaded:
             self.acceptor.load_record(record)
         self.storage.loaded = []
-        self.journal = MendingJournal(self.storage, self.node.events, self._collect_snapshot)
+        self.journal = RecoveringJournal(self.storage, self.node.events, self._collect_snapshot)
         self.registers = RegisterClient(
             self.ask_keeper,
             self.node.process,
@@ -122,7 +122,7 @@
         self.registers.learn_keepers(self.acceptor.keepers)
         self.line = self._make_line(Line.configuration)
         self.rollouts = RolloutLine(self._make_line(Line.rollouts), self.node.events)
-        self.replacement = Replacement(self)
+        self.replacement = KeeperReplacement(self)
         self._compressed = (0, b"")
         # The peers whose last content was broken.
         self._unreadable: set[ProcessId] = set()
@@ -143,7 +143,7 @@
 
     async def start(self) -> None:
         """Open the links and the operators' address, and keep in touch."""
-        self.node.open_events()
+        self.node.start_event_log()
         member = self.acceptor.find_member()
         self.node.events.emit(
             "disk_opened",
@@ -153,7 +153,7 @@
             version=self.acceptor.configuration.version,
         )
         await self.node.listen(self.handle)
-        await self.node.open_metrics()
+        await self.node.start_metrics()
         self.node.state = ProcessState.serving
         self.node.spawn(self._run_contacts(), "contacts")
         self.node.spawn(self._run_replacement(), "replacement")
@@ -261,7 +261,7 @@
 
     def _describe(self) -> Contact:
         version = self.acceptor.configuration.version
-        return self.node.describe(version, self.acceptor.identity.disk_id, self.acceptor.epoch)
+        return self.node.make_contact(version, self.acceptor.identity.disk_id, self.acceptor.epoch)
 
     def _handle_contact(self, ask: ContactAsk) -> ContactReply:
         self._hear(ask.contact, ask.known)
@@ -314,9 +314,9 @@
         while True:
             now_s = read_clock_s()
             if now_s - last_s > _HELD_UP_S:
-                self.replacement.restart_watch()
+                self.replacement.reset_silence()
             last_s = now_s
-            self.node.forget_silent(now_s)
+            self.node.expire_contacts(now_s)
             for process in self._list_other_keepers():
                 self.node.spawn(self._contact(process), f"contact {process}")
             await asyncio.sleep(_CONTACT_S * (0.75 + 0.5 * self.node.random.random()))
@@ -324,7 +324,8 @@
     def _list_other_keepers(self) -> set[ProcessId]:
         role = RoutingRole.keeper
         seeds = {
-            self.node.name_peer(role, parse_address(seed).ip) for seed in self.node.settings.seeds
+            self.node.make_peer_id(role, parse_address(seed).ip)
+            for seed in self.node.settings.seeds
         }
         known = set(self.node.contacts.list_by_role(role.value))
         return (seeds | known) - {self.node.process}
@@ -375,11 +376,11 @@
         while True:
             await asyncio.sleep(_CONTACT_S * (0.75 + 0.5 * self.node.random.random()))
             try:
-                await self.journal.mend()
+                await self.journal.recover()
                 if not self.journal.is_failed:
-                    await self.replacement.run_once()
+                    await self.replacement.run_step()
                 if self.storage.log_bytes > _SNAPSHOT_BYTES:
-                    self.journal.replace()
+                    self.journal.write_snapshot()
             except OSError as error:
                 self.node.events.emit("disk_failed", detail=str(error))
             except TroutstandError as error:
@@ -394,5 +395,5 @@
         )
         replace_identity(Path(self.node.settings.data_folder), identity)
         self.acceptor.reset(identity)
-        self.journal.replace()
+        self.journal.write_snapshot()
         self.node.events.emit("disk_renewed", disk=identity.disk_id, epoch=self.acceptor.epoch)
--- a/troutstand/routing/replacement.py
+++ b/troutstand/routing/keeperreplacement.py
@@ -40,18 +40,18 @@
 _COPY_S = 2.0
 
 
-class Replacement:
+class KeeperReplacement:
     """Follow and change the keeper set from one keeper."""
 
     def __init__(self, keeper: RoutingKeeper) -> None:
         self._keeper = keeper
         self._watching_since_s = read_clock_s()
 
-    def restart_watch(self) -> None:
+    def reset_silence(self) -> None:
         """Note that this process was held up, so that silence proves nothing yet."""
         self._watching_since_s = read_clock_s()
 
-    async def run_once(self) -> None:
+    async def run_step(self) -> None:
         """Take the next step that the set needs, if it is this keeper's to take."""
         acceptor = self._keeper.acceptor
         if acceptor.keepers is None:
--- a/troutstand/routing/node.py
+++ b/troutstand/routing/node.py
@@ -49,7 +49,7 @@
     return Address(ip.removeprefix("[").removesuffix("]"), int(port))
 
 
-def name_routing_process(role: RoutingRole, ip: str, first_port: int) -> ProcessId:
+def make_process_id(role: RoutingRole, ip: str, first_port: int) -> ProcessId:
     """Name the process that plays a role at an IP number: the address of its links."""
     return ProcessId(f"{ip}:{first_port + _PORT_OFFSETS[role]}")
 
@@ -63,7 +63,7 @@
 
     def __init__(self, settings: RoutingSettings) -> None:
         self.settings = settings
-        self.process = self.name_peer(settings.role, settings.ip)
+        self.process = self.make_peer_id(settings.role, settings.ip)
         self.incarnation = Incarnation(secrets.token_hex(_INCARNATION_BYTES))
         self.random = random.Random(secrets.randbits(64))
         self.state = ProcessState.starting
@@ -80,11 +80,11 @@
         self._tasks: set[asyncio.Task[None]] = set()
         self._server: LinkServer | None = None
         # When the host was last seen to be awake again after it was suspended.
-        self.woken_s = float("-inf")
+        self.resumed_s = float("-inf")
 
-    def name_peer(self, role: RoutingRole, ip: str) -> ProcessId:
+    def make_peer_id(self, role: RoutingRole, ip: str) -> ProcessId:
         """Name the process that plays a role at an IP number."""
-        return name_routing_process(role, ip, self.settings.first_port)
+        return make_process_id(role, ip, self.settings.first_port)
 
     @property
     def load_options(self) -> LoadOptions:
@@ -92,7 +92,7 @@
         settings = self.settings
         return LoadOptions(settings.protect_tiers, settings.share_fairly)
 
-    def describe(self, version: int, disk_id: str = "", epoch: int = 0) -> Contact:
+    def make_contact(self, version: int, disk_id: str = "", epoch: int = 0) -> Contact:
         """Tell others what this process is."""
         settings = self.settings
         return Contact(
@@ -108,13 +108,13 @@
             epoch=epoch,
         )
 
-    def open_events(self) -> None:
+    def start_event_log(self) -> None:
         """Begin to log, on standard output."""
         open_standard_output()
         self.events.enable_log()
         self.events.emit("process_started", incarnation=self.incarnation, address=self.process)
 
-    async def open_metrics(self) -> None:
+    async def start_metrics(self) -> None:
         """Serve metrics, where the settings name a port."""
         self.spawn(self.metrics.watch_loop(), "loop lag")
         self.spawn(watch_suspends(self._note_suspended), "suspends")
@@ -124,7 +124,7 @@
             self._metrics_runner = await self.metrics.serve(address)
 
     def _note_suspended(self, length_s: float) -> None:
-        self.woken_s = read_clock_s()
+        self.resumed_s = read_clock_s()
         self.events.emit("host_suspended", length_s=length_s)
 
     async def listen(self, handler: Handler) -> None:
@@ -191,16 +191,16 @@
         if self.on_refused is not None:
             self.on_refused(process)
 
-    def drop_link(self, process: ProcessId) -> None:
+    def close_link(self, process: ProcessId) -> None:
         """Close the link to a process that is forgotten."""
         held = self._links.pop(process, None)
         if held is not None:
             held[1].cancel()
 
-    def forget_silent(self, now_s: float) -> None:
+    def expire_contacts(self, now_s: float) -> None:
         """Drop the contacts and links of processes that were silent for long."""
         for process in self.contacts.expire(now_s):
-            self.drop_link(process)
+            self.close_link(process)
             self.events.emit("contact_forgotten", peer=process)
 
     def send(self, process: str, message: PeerMessage) -> bool:
@@ -215,10 +215,10 @@
         TroutstandError
             Those of `Link.ask`.
         """
-        await self.wait_link(process)
+        await self.wait_for_link(process)
         return await self._open_link(ProcessId(process)).ask(message, timeout_s)
 
-    async def wait_link(self, process: str) -> bool:
+    async def wait_for_link(self, process: str) -> bool:
         """Wait a moment for a link that was just opened or lost; tell whether it is up."""
         link = self._open_link(ProcessId(process))
         if not link.is_up:
--- a/troutstand/routing/placement.py
+++ b/troutstand/routing/placement.py
@@ -207,20 +207,20 @@
         limit_s = max(_MIN_ASK_S, work.remaining_s)
         loop = asyncio.get_running_loop()
         probe = loop.call_later(PROBE_DELAY_S, self._heartbeats.probe, scheduler)
-        self._heartbeats.note_asked(scheduler)
+        self._heartbeats.record_request(scheduler)
         try:
             reply = await self._node.ask(scheduler, Place(work), limit_s)
         except TroutstandError as error:
             # Whoever decides next is asked, which scheduler_changed tells of; a request
             # whose time ends before has its own line.
             if error.code is not ResultCode.LINK_CLOSED:
-                self._heartbeats.miss(scheduler)
+                self._heartbeats.mark_lost(scheduler)
                 return
             reply = await self._repeat_ask(scheduler, work, limit_s)
         finally:
             probe.cancel()
         if reply is not None:
-            self._heartbeats.note_answered(scheduler)
+            self._heartbeats.record_response(scheduler)
         if isinstance(reply, Placed | Declined) and not placing.answer.done():
             placing.answer.set_result(reply)
 
@@ -232,13 +232,13 @@
         Whoever decides next is asked when that fails as well.
         """
         try:
-            if await self._node.wait_link(scheduler):
+            if await self._node.wait_for_link(scheduler):
                 # The answer to the first ask may be lost; its slot must not be.
                 self._node.send(scheduler, Abandon(work.request))
             return await self._node.ask(scheduler, Place(work), limit_s)
         except TroutstandError:
             # Whoever decides next is asked.
-            self._heartbeats.miss(scheduler)
+            self._heartbeats.mark_lost(scheduler)
             return None
 
     def _withdraw(self, placing: PendingPlacement) -> None:
--- a/troutstand/routing/journal.py
+++ b/troutstand/routing/recoveringjournal.py
@@ -16,7 +16,7 @@
     from troutstand.util.events import EventBus
 
 
-class MendingJournal(Journal):
+class RecoveringJournal(Journal):
     """Write records to the disk, and stop voting while it refuses them.
 
     After a refused write memory is ahead of the disk. Nothing that rests on it
@@ -49,19 +49,19 @@
             return error
         return None
 
-    async def mend(self) -> None:
+    async def recover(self) -> None:
         """Try to write the whole state anew after a refused write."""
         if not self.is_failed:
             return
         try:
-            self.replace()
+            self.write_snapshot()
         except TroutstandError:
             # disk_failed was logged when it began to refuse; disk_recovered ends it.
             return
         self.is_failed = False
         self._events.emit("disk_recovered")
 
-    def replace(self) -> None:
+    def write_snapshot(self) -> None:
         """Replace the log by the state it leads to.
 
         Raises
--- a/troutstand/routing/scheduler.py
+++ b/troutstand/routing/scheduler.py
@@ -93,9 +93,9 @@
 
     async def start(self) -> None:
         """Open the links and begin to follow configuration and targets."""
-        self.node.open_events()
+        self.node.start_event_log()
         await self.node.listen(self.handle)
-        await self.node.open_metrics()
+        await self.node.start_metrics()
         self.node.state = ProcessState.serving
         self.node.spawn(self.follower.run(), "follower")
         self.node.spawn(self._run_list(), "target list")
--- a/troutstand/tests/steps/clock.py
+++ b/troutstand/tests/steps/clock.py
@@ -131,7 +131,7 @@
 @given("a process that has just heard of a keeper")
 def hear_keeper(context: Context) -> None:
     follower = context.follower = Follower.__new__(Follower)
-    follower._node = SimpleNamespace(woken_s=float("-inf"), events=mock.Mock())  # type: ignore[assignment]
+    follower._node = SimpleNamespace(resumed_s=float("-inf"), events=mock.Mock())  # type: ignore[assignment]
     follower._is_lost = False
     follower.table = None
     _answer(context)
@@ -140,12 +140,12 @@
 
 def _answer(context: Context) -> None:
     with mock.patch("troutstand.routing.follower.read_clock_s", clock.read_clock_s):
-        context.follower._note_touch(True)
+        context.follower._record_contact(True)
 
 
 @then("what it knows is not fresh until a keeper answers")
 def check_fresh(context: Context) -> None:
-    context.follower._node.woken_s = clock.read_clock_s()
+    context.follower._node.resumed_s = clock.read_clock_s()
     assert not context.follower.is_fresh
     _answer(context)
     assert context.follower.is_fresh
--- a/troutstand/tests/steps/follower.py
+++ b/troutstand/tests/steps/follower.py
@@ -85,7 +85,7 @@
 def ask(context: Context, count: int) -> None:
     async def ask_all() -> None:
         for _ in range(count):
-            await context.follower.ask_next()
+            await context.follower.ask_next_keeper()
 
     asyncio.run(ask_all())
 
