--- a/troutstand/core/domainview.py
+++ b/troutstand/core/domainview.py
@@ -6,7 +6,7 @@
 
 from troutstand.core.runningload import RunningLoad
 from troutstand.core.targetestimate import Running, TargetEstimate
-from troutstand.core.workspaceusage import WorkspaceUse
+from troutstand.core.workspaceusage import WorkspaceUsage
 from troutstand.generated.table import Target, Tier, Workspace
 
 if TYPE_CHECKING:
@@ -21,7 +21,7 @@
         self.failure_domain = failure_domain
         self.targets: dict[str, TargetEstimate] = {}
         self._tiers: dict[str, Tier] = {}
-        self._workspaces: dict[str, WorkspaceUse] = {}
+        self._workspaces: dict[str, WorkspaceUsage] = {}
         self._pools: dict[str, list[TargetEstimate]] = {}
         self._load = RunningLoad()
         self._leaving: frozenset[str] = frozenset()
@@ -40,7 +40,7 @@
 
     def _update_workspaces(self, rows: dict[str, Workspace]) -> None:
         for name, row in rows.items():
-            usage = self._workspaces.setdefault(name, WorkspaceUse(row))
+            usage = self._workspaces.setdefault(name, WorkspaceUsage(row))
             usage.row = row
         for name in set(self._workspaces) - set(rows):
             del self._workspaces[name]
--- a/troutstand/core/policy.py
+++ b/troutstand/core/policy.py
@@ -59,7 +59,7 @@
     return Choice(target, wait_s, first_token_s, finish_s, uncached)
 
 
-def _count_load(target: TargetEstimate) -> float:
+def _get_utilization(target: TargetEstimate) -> float:
     return len(target.running) / target.row.slots
 
 
@@ -99,10 +99,10 @@
                 self._next_index += 1
                 return targets[self._next_index % len(targets)]
             case PolicyName.LEAST_LOADED:
-                return min(targets, key=_count_load)
+                return min(targets, key=_get_utilization)
             case PolicyName.TWO_CHOICES:
                 pair = self._random.sample(targets, min(2, len(targets)))
-                return min(pair, key=_count_load)
+                return min(pair, key=_get_utilization)
             case _:
                 return _choose_by_hash(targets, ask, prefixes)
 
--- a/troutstand/core/targetchoice.py
+++ b/troutstand/core/targetchoice.py
@@ -21,7 +21,7 @@
 _COST_JITTER_S = 0.02
 # Time after a lost response before a target runs isolated requests: it may have ended
 # already, which would not implicate the request.
-_MIN_ISOLATION_AGE_S = 5.0
+_ISOLATION_COOLDOWN_S = 5.0
 
 
 def find_link(work: RoutedWork, state: TargetState) -> Link:
@@ -70,7 +70,7 @@
         return [
             t
             for t in open_
-            if (not t.consecutive_losses or now_s - t.last_loss_s > _MIN_ISOLATION_AGE_S)
+            if (not t.consecutive_losses or now_s - t.last_loss_s > _ISOLATION_COOLDOWN_S)
             and self._crashes.may_run_isolated(run.work.fingerprint for run in t.running.values())
         ]
 
--- a/troutstand/core/targetestimate.py
+++ b/troutstand/core/targetestimate.py
@@ -19,7 +19,7 @@
 SPEED_EWMA_WEIGHT = 0.3
 MIN_PREFILL_SAMPLE_TOKENS = 32
 MIN_DECODE_SAMPLE_TOKENS = 4
-FIRST_BACKOFF_S = 1.0
+INITIAL_BACKOFF_S = 1.0
 MAX_BACKOFF_S = 30.0
 # Backoff applies to all entry processes of the domain.
 _ANY_PROCESS = ""
@@ -63,7 +63,7 @@
     # Notices from the target to any entry process of the domain.
     report: SelfReport = field(default_factory=SelfReport)
     _leaving_reported_s: float = float("-inf")
-    backoff_s: float = FIRST_BACKOFF_S
+    backoff_s: float = INITIAL_BACKOFF_S
     prefill_tokens_per_s: float = 0.0
     decode_tokens_per_s: float = 0.0
     cache: PrefixCache = field(init=False)
@@ -196,7 +196,7 @@
 
     def _mark_trusted(self) -> None:
         self.health = Health.TRUSTED
-        self.backoff_s = FIRST_BACKOFF_S
+        self.backoff_s = INITIAL_BACKOFF_S
 
     def _update_speeds(self, done: Finished) -> None:
         uncached = done.prompt_tokens - done.cached_tokens
--- a/troutstand/core/tiers.py
+++ b/troutstand/core/tiers.py
@@ -6,7 +6,7 @@
 
 from troutstand.generated.routing import TierOrder
 
-# Equals the default of the setting.
+# Must equal the default of the setting.
 DEFAULT_TIER_ORDER = TierOrder.route_first
 _RANKS_PER_TIER = 1000
 
--- a/troutstand/core/workspaceusage.py
+++ b/troutstand/core/workspaceusage.py
@@ -13,7 +13,7 @@
 
 
 @dataclass
-class WorkspaceUse:
+class WorkspaceUsage:
     """Track one workspace's running requests and its token bucket.
 
     A request is charged its estimated tokens on submission; it is admitted, whatever its
