--- a/troutstand/routing/callerresponse.py
+++ b/troutstand/routing/callerresponse.py
@@ -1,4 +1,4 @@
-"""Write one answer to a caller: one head, the body behind it, and one end."""
+"""Write a streamed response to a caller."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class CallerResponse:
-    """Write an answer piece by piece.
+    """Write a response in chunks.
 
     Parameters
     ----------
@@ -25,21 +25,21 @@
     def __init__(self, request: web.BaseRequest) -> None:
         self._request = request
         self._response: web.StreamResponse | None = None
-        self._begun_s = 0.0
+        self._started_s = 0.0
 
     @property
     def has_started(self) -> bool:
-        """Tell whether the caller got the head, so that only its body may follow."""
+        """Return whether the head was written, so that only the body may follow."""
         return self._response is not None
 
     @property
     def started_s(self) -> float | None:
-        """Return when the head was written, in seconds on the steady clock."""
-        return self._begun_s if self.has_started else None
+        """Return when the head was written, in seconds on the monotonic clock, or None."""
+        return self._started_s if self.has_started else None
 
     @property
     def response(self) -> web.StreamResponse:
-        """Return the answer that has begun."""
+        """Return the response, which must have been started."""
         assert self._response is not None
         return self._response
 
@@ -48,27 +48,27 @@
 
         Parameters
         ----------
-        is_last
-            Whether the connection is closed behind this answer.
+        closes_connection
+            Whether the connection is closed after this response.
         """
-        assert self._response is None, "an answer has one head"
+        assert self._response is None, "the response was already started"
         response = web.StreamResponse(status=status, headers=headers)
         response.enable_chunked_encoding()
         if closes_connection:
             response.force_close()
         await response.prepare(self._request)
         self._response = response
-        self._begun_s = read_clock_s()
+        self._started_s = read_clock_s()
 
     async def write(self, data: bytes) -> None:
-        """Write a piece of the body."""
+        """Write a chunk of the body."""
         await self.response.write(data)
 
     async def complete(self) -> None:
-        """Write the end, from which the caller takes the answer to be whole."""
+        """Write the end of the body, which marks the response as complete."""
         await self.response.write_eof()
 
     def abort(self) -> web.StreamResponse:
-        """Close the connection without the end, so that the caller sees the break."""
+        """Close the connection without the end of the body, so that the caller sees an error."""
         abort_response(self._request)
         return self.response
--- a/troutstand/routing/decisionlog.py
+++ b/troutstand/routing/decisionlog.py
@@ -1,4 +1,4 @@
-"""Log what was decided on a request, whoever decided it."""
+"""Log placement decisions of schedulers and gateways."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 LOCAL = "alone"
 SCHEDULER = "scheduler"
-_MILLISECONDS = 1000.0
+_MS_PER_S = 1000.0
 
 
 def emit_decision(
     events: EventBus, decision: Decision, decider: str, version: int, targets_version: str
 ) -> None:
-    """Write one line with the inputs that decided."""
+    """Log a decision with its inputs."""
     match decision.answer:
         case Placed():
             if decision.inputs is not None:
@@ -42,7 +42,7 @@
 
 
 def emit_link_changes(events: EventBus, changes: list[LinkChange], decider: str) -> None:
-    """Write one line for each way between failure domains that is held off or open again."""
+    """Log each link between failure domains that is blocked or open again."""
     for change in changes:
         events.emit(
             "way_regained" if change.is_open else "way_lost",
@@ -54,7 +54,7 @@
 
 
 def emit_suspicion_changes(events: EventBus, changes: list[SuspicionChange], decider: str) -> None:
-    """Write one line for each request that is blamed for a target's end, or cleared."""
+    """Log each request that is suspected of crashing targets, or cleared."""
     for change in changes:
         events.emit(
             "request_cleared" if change.suspicion is Suspicion.NONE else "request_blamed",
@@ -79,8 +79,8 @@
         placed.request,
         target=placed.target,
         waited_ms=placed.waited_ms,
-        expected_ms=_MILLISECONDS * inputs.expected_first_s,
-        token_ms=_MILLISECONDS * inputs.token_s,
+        expected_ms=_MS_PER_S * inputs.expected_first_s,
+        token_ms=_MS_PER_S * inputs.token_s,
         running=inputs.running,
         uncached=inputs.uncached_tokens,
         sign_age_s=inputs.last_response_age_s,
--- a/troutstand/routing/dialect.py
+++ b/troutstand/routing/dialect.py
@@ -1,7 +1,6 @@
-"""Name what callers, targets and operators of a routed site put on the wire.
+"""Wire formats between a routed site and its callers, targets and operators.
 
-The product's own names are the defaults; a deployment that speaks otherwise
-hands the processes a `Dialect` of its own.
+A deployment with other header names, paths or formats passes its own `Dialect`.
 """
 
 from __future__ import annotations
@@ -27,17 +26,16 @@
 
 B = TypeVar("B")
 
-# Where operators order rollouts in the product's own form.
 ROLLOUTS_PATH = "/rollouts"
-# A version names software, such as a tag or a digest.
-_MAX_VERSION = 128
-# The longest time that an order may give, in seconds: a week.
+# Long enough for a tag or a digest.
+_MAX_VERSION_LENGTH = 128
+# One week.
 _MAX_DURATION_S = 604800.0
 
 
 @dataclass(frozen=True)
 class HeaderNames:
-    """Name the headers of requests and answers, in lower case."""
+    """Header names of requests and responses, in lower case."""
 
     request: str = "x-request-id"
     deadline_ms: str = "x-deadline-ms"
@@ -51,11 +49,11 @@
     expected_target: str = "x-expected-target"
     not_run: str = "x-not-run"
     seal: str = "x-answer-seal"
-    # Says in any answer that its target takes no new work.
+    # Set in a response when the target accepts no new requests.
     leaving: str = LEAVING_HEADER
-    # Says in any answer how many requests a second its target takes from all hosts together.
+    # The target's limit of requests per second over all hosts, in a response.
     limit: str = LIMIT_HEADER
-    # Orders to a target, such as to reserve memory: what a caller writes there is dropped.
+    # Instructions to targets; dropped from callers' requests.
     reserved: frozenset[str] = frozenset({"x-target-order"})
 
 
@@ -63,14 +61,14 @@
 
 
 def decode_default_configuration(data: bytes) -> Configuration:
-    """Decode and check a configuration in the product's own form.
+    """Decode and check a configuration in the default format.
 
     Raises
     ------
     TroutstandError
-        CONFIGURATION_INVALID where it cannot be read.
+        CONFIGURATION_INVALID if it cannot be decoded.
     ExceptionGroup
-        Of TroutstandError, one for each fault of one that can be read.
+        Of TroutstandError, one for each invalid part of a decoded configuration.
     """
     try:
         configuration = msgspec.json.decode(data, type=Configuration)
@@ -81,7 +79,7 @@
 
 
 def decode_default_targets(data: bytes) -> TargetPage:
-    """Decode a page of the list of targets in the product's own form."""
+    """Decode a page of the list of targets in the default format."""
     return decode_page(data, DEFAULT_PAGE, ListedTarget, lambda target: target)
 
 
@@ -97,7 +95,7 @@
 
 
 def decode_rollout_body(data: bytes, kind: type[B]) -> B:
-    """Decode an operator's order in one deployment's form.
+    """Decode an operator's rollout order of the given type.
 
     Raises
     ------
@@ -111,7 +109,7 @@
 
 
 def decode_default_rollout(data: bytes) -> RolloutRequest:
-    """Decode an operator's order in the product's own form.
+    """Decode and check an operator's rollout order in the default format.
 
     Raises
     ------
@@ -122,40 +120,42 @@
     return check_rollout(RolloutRequest(body.service, body.version, body.duration_s))
 
 
-def check_rollout(ask: RolloutRequest) -> RolloutRequest:
-    """Return an order whose version and time can be used.
+def check_rollout(order: RolloutRequest) -> RolloutRequest:
+    """Return the order if its version and duration are valid.
 
     Raises
     ------
     TroutstandError
         FIELD_INVALID.
     """
-    if not 0 < len(ask.version) <= _MAX_VERSION:
-        detail = f"rollout: version {ask.version!r}, 1 to {_MAX_VERSION} characters are accepted"
+    if not 0 < len(order.version) <= _MAX_VERSION_LENGTH:
+        detail = (
+            f"rollout: version {order.version!r} must have 1 to {_MAX_VERSION_LENGTH} characters"
+        )
         raise TroutstandError(ResultCode.FIELD_INVALID, detail)
-    if not 0.0 < ask.duration_s <= _MAX_DURATION_S:
+    if not 0.0 < order.duration_s <= _MAX_DURATION_S:
         detail = (
-            f"rollout: {ask.duration_s} s, more than 0 and up to {_MAX_DURATION_S} are accepted"
+            f"rollout: duration {order.duration_s} s must be above 0 and up to {_MAX_DURATION_S}"
         )
         raise TroutstandError(ResultCode.FIELD_INVALID, detail)
-    return ask
+    return order
 
 
 def get_public_state(order: RolloutOrder) -> str:
-    """Return an order's state as operators see it: a switch is still in progress."""
+    """Return an order's state for operators, who see `switching` as `in_progress`."""
     is_switching = order.state is RolloutState.switching
     return RolloutState.in_progress.value if is_switching else order.state.value
 
 
 def encode_default_rollout(order: RolloutOrder) -> bytes:
-    """Write how far an order has come in the product's own form."""
-    told = {"state": get_public_state(order), "version": order.version, "detail": order.detail}
-    return msgspec.json.encode(told)
+    """Encode an order's progress in the default format."""
+    body = {"state": get_public_state(order), "version": order.version, "detail": order.detail}
+    return msgspec.json.encode(body)
 
 
 @dataclass(frozen=True)
 class Dialect:
-    """Tell how a deployment writes what the processes exchange with others."""
+    """The wire formats of one deployment."""
 
     headers: HeaderNames = field(default_factory=HeaderNames)
     readiness_path: str = "/ready"
--- a/troutstand/routing/errorresponse.py
+++ b/troutstand/routing/errorresponse.py
@@ -1,4 +1,4 @@
-"""Write refusals as answers to callers."""
+"""Convert errors into HTTP responses to callers."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 def make_error_response(error: TroutstandError) -> web.Response:
-    """Write a refusal with its number, whether it ran, and when to come back."""
-    meaning = describe_code(error.code)
+    """Return a response with the error's code, whether the request ran, and when to retry."""
+    description = describe_code(error.code)
     body = {"code": int(error.code), "error": error.detail, "run": error.run.value}
-    response = web.json_response(body, status=meaning.http_status)
+    response = web.json_response(body, status=description.http_status)
     if error.retry_after_s is not None:
         response.headers["Retry-After"] = f"{error.retry_after_s:.3f}"
     return response
--- a/troutstand/routing/loadreport.py
+++ b/troutstand/routing/loadreport.py
@@ -1,4 +1,4 @@
-"""Show operators how a scheduler shares room that is short."""
+"""Report to operators how a scheduler shares scarce slots."""
 
 from __future__ import annotations
 
@@ -11,21 +11,20 @@
     from troutstand.core.pool import Pool
     from troutstand.routing.node import RoutingNode
 
-# How often the figures are made, in seconds.
 _PERIOD_S = 1.0
-# Workspaces of a service that are shown: those furthest ahead of their share.
-_MOST_SHOWN = 10
-# A workspace is told of as over its share from this lead on, in seconds of slot time.
+# Workspaces of a service that get a gauge: those furthest above their share.
+_MAX_WORKSPACE_COUNT = 10
+# Slot time above its share from which a workspace is logged as over its share.
 _OVER_SHARE_S = 1.0
 
 
 class LoadReport:
-    """Set gauges and log changes, once a second."""
+    """Set gauges and log changes of workspaces over their share."""
 
     def __init__(self, node: RoutingNode) -> None:
         registry = node.metrics.registry
         self._events = node.events
-        self._kept = Gauge(
+        self._reserved = Gauge(
             "troutstand_slots_kept",
             "Free slots that the lowest tier must leave to higher ones",
             ["service"],
@@ -43,36 +42,36 @@
             ["service", "workspace"],
             registry=registry,
         )
-        self._made_s = float("-inf")
-        self._over: set[tuple[str, str]] = set()
+        self._updated_s = float("-inf")
+        self._over_share: set[tuple[str, str]] = set()
 
     def update(self, dispatcher: Dispatcher, now_s: float) -> None:
-        """Make the figures anew where they are due."""
-        if now_s - self._made_s < _PERIOD_S:
+        """Update gauges and logs if they are due."""
+        if now_s - self._updated_s < _PERIOD_S:
             return
-        self._made_s = now_s
+        self._updated_s = now_s
         self._lead_s.clear()
-        over: set[tuple[str, str]] = set()
+        over_share: set[tuple[str, str]] = set()
         for service, pool in dispatcher.pools.items():
-            self._kept.labels(service).set(pool.count_reserved_slots(now_s))
+            self._reserved.labels(service).set(pool.count_reserved_slots(now_s))
             self._waiting.labels(service).set(len(pool.waiting))
-            over |= self._show_leads(service, pool)
-        self._tell_over(over)
+            over_share |= self._update_leads(service, pool)
+        self._log_over_share(over_share)
 
-    def _show_leads(self, service: str, pool: Pool) -> set[tuple[str, str]]:
-        """Show the largest leads of a service; return whose are over their share."""
+    def _update_leads(self, service: str, pool: Pool) -> set[tuple[str, str]]:
+        """Set the gauges of a service's largest leads; return the workspaces over their share."""
         leads: dict[str, float] = {}
-        for led in pool.shares.list_leads().values():
-            for workspace, lead_s in led.items():
+        for tier_leads in pool.shares.list_leads().values():
+            for workspace, lead_s in tier_leads.items():
                 leads[workspace] = max(lead_s, leads.get(workspace, 0.0))
-        largest = sorted(leads, key=leads.__getitem__, reverse=True)[:_MOST_SHOWN]
+        largest = sorted(leads, key=leads.__getitem__, reverse=True)[:_MAX_WORKSPACE_COUNT]
         for workspace in largest:
             self._lead_s.labels(service, workspace).set(leads[workspace])
         return {(service, name) for name in largest if leads[name] >= _OVER_SHARE_S}
 
-    def _tell_over(self, over: set[tuple[str, str]]) -> None:
-        for service, workspace in sorted(over - self._over):
+    def _log_over_share(self, over_share: set[tuple[str, str]]) -> None:
+        for service, workspace in sorted(over_share - self._over_share):
             self._events.emit("workspace_over_share", service=service, workspace=workspace)
-        for service, workspace in sorted(self._over - over):
+        for service, workspace in sorted(self._over_share - over_share):
             self._events.emit("workspace_within_share", service=service, workspace=workspace)
-        self._over = over
+        self._over_share = over_share
--- a/troutstand/routing/pendingplacement.py
+++ b/troutstand/routing/pendingplacement.py
@@ -1,4 +1,4 @@
-"""Hold a request of a gateway that waits for a decision."""
+"""A gateway's request that waits for a placement decision."""
 
 from __future__ import annotations
 
@@ -16,20 +16,19 @@
 
 @dataclass
 class PendingPlacement:
-    """Hold one request that waits for a decision."""
+    """A request that waits for a decision; times in seconds on the monotonic clock."""
 
     work: RoutedWork
-    since_s: float
+    started_s: float
     answer: asyncio.Future[Placed | Declined]
-    asked: Decider | None = None
+    decider: Decider | None = None
     task: asyncio.Task[None] | None = None
 
 
 def update_remaining_time(work: RoutedWork, spent_s: float) -> RoutedWork:
-    """Return the work with the time left that it has now.
+    """Return the work with its remaining and spent time updated.
 
-    Without what is spent a request that moves to another scheduler seems to have just
-    come, and goes behind others that are due later.
+    Otherwise a request that moves to another scheduler would queue as if it had just arrived.
     """
     return msgspec.structs.replace(
         work,
--- a/troutstand/routing/relay.py
+++ b/troutstand/routing/relay.py
@@ -1,8 +1,7 @@
-"""Send one request to a target and bring back what the target answered.
+"""Send requests to targets and check their responses.
 
-What comes back is judged here: only a whole answer of the target to this very
-request passes. Everything else is an `Ending` that says whether the request
-may have run.
+Only a response of the expected target to the same request is returned. Anything else
+raises `SendError`, whose `Ending` says whether the request may have run.
 """
 
 from __future__ import annotations
@@ -28,12 +27,12 @@
     )
 
 MISDIRECTED = 421
-_FIRST_FAILURE = 300
+_FIRST_NON_SUCCESS = 300
 _FIRST_SUCCESS = 200
 _UNSENT = frozenset({Ending.unsent, Ending.kept_back})
-# A target may have forgotten a kept connection; what may not be repeated goes
-# only on one that was used a moment ago, or on a new one.
-_UNREPEATABLE_IDLE_S = 2.0
+# A target may have closed an idle connection, so requests that must not be repeated
+# reuse only a connection that was idle for less than this.
+_UNREPEATABLE_MAX_IDLE_S = 2.0
 CONNECTION_HEADERS = frozenset(
     {
         "connection",
@@ -53,7 +52,7 @@
 
 @dataclass(frozen=True)
 class OutgoingRequest:
-    """Hold a caller's request as it goes to any target."""
+    """A caller's request in the form that is sent to any target."""
 
     request: str
     method: str
@@ -64,20 +63,20 @@
 
 
 class SendError(Exception):
-    """Report that a target brought no answer that may be passed on.
+    """Report that a target returned no usable response.
 
     Parameters
     ----------
     ending
-        What became of it at the target.
+        How the request ended at the target.
     status
-        The status with which the target answered, where it did.
+        The HTTP status of the target's response, or None.
     is_target_gone
         Whether the target's address refuses connections.
     was_resent
-        Whether a kept connection failed first, and the request was sent on a new one.
+        Whether a reused connection failed first and the request was sent on a new one.
     notice
-        What the target's answer says of the target, where one came.
+        The notice in the target's response; empty without a response.
     """
 
     def __init__(
@@ -99,17 +98,17 @@
 
     @property
     def may_have_arrived(self) -> bool:
-        """Tell whether the target may have seen the request."""
+        """Return whether the target may have received the request."""
         return self.ending not in _UNSENT
 
     @property
     def may_have_run(self) -> bool:
-        """Tell whether the target may have worked on the request."""
+        """Return whether the target may have run the request."""
         return self.may_have_arrived and self.ending is not Ending.turned_away
 
 
 def filter_headers(headers: Headers, drop: frozenset[str]) -> Headers:
-    """Return the headers that are passed on; names are compared in lower case."""
+    """Return the headers to forward, without hop-by-hop headers and those in `drop`."""
     listed = {
         name.strip().lower()
         for key, value in headers
@@ -122,7 +121,7 @@
 
 @dataclass
 class SentRequest:
-    """Hold a request under way at one target; times in seconds on the steady clock."""
+    """A request in flight at a target; times in seconds on the monotonic clock."""
 
     placed: Placed
     connection: TargetConnection
@@ -133,76 +132,76 @@
 
     @property
     def is_success(self) -> bool:
-        """Tell whether the target says that it did what was asked."""
-        return _FIRST_SUCCESS <= self.head.status < _FIRST_FAILURE
+        """Return whether the target's status is 2xx."""
+        return _FIRST_SUCCESS <= self.head.status < _FIRST_NON_SUCCESS
 
 
 class NoticeHandler(Protocol):
-    """Know which targets want to be left alone."""
+    """Handle notices of targets, and decide which targets may get requests."""
 
     def get_block_reason(self, placed: Placed) -> BlockReason | None:
         """Return why nothing may be sent to a request's target now, or None."""
         ...
 
-    def handle_notice(self, request: str, notice: TargetNotice, asked_s: float) -> None:
-        """Take what the answer to a request, sent at a time, says of its target."""
+    def handle_notice(self, request: str, notice: TargetNotice, sent_s: float) -> None:
+        """Handle the notice in the response to a request that was sent at `sent_s`."""
 
 
 class Sender:
     """Send requests to targets."""
 
-    def __init__(self, pool: ConnectionPool, names: HeaderNames, watch: NoticeHandler) -> None:
+    def __init__(self, pool: ConnectionPool, names: HeaderNames, notices: NoticeHandler) -> None:
         self._pool = pool
         self._names = names
-        self._watch = watch
+        self._notices = notices
 
     async def send(
         self, outgoing: OutgoingRequest, placed: Placed, deadline_s: float
     ) -> SentRequest:
-        """Send a request and return its answer's head.
+        """Send a request and receive the head of its response.
 
         Raises
         ------
         SendError
-            Where no head of an answer to this request came.
+            If no valid response head for this request arrived.
         """
-        fresh = False
+        use_new_connection = False
         was_written = False
         while True:
             self._check_may_send(placed, was_written)
-            max_idle_s = None if outgoing.is_repeatable else _UNREPEATABLE_IDLE_S
-            if fresh:
+            max_idle_s = None if outgoing.is_repeatable else _UNREPEATABLE_MAX_IDLE_S
+            if use_new_connection:
                 max_idle_s = 0.0
             try:
                 return await self._send_once(outgoing, placed, deadline_s, max_idle_s)
             except ExchangeError as error:
                 was_written = was_written or error.was_written
                 if not error.was_written and not error.was_stale:
-                    # Written on the kept connection, it may have run though no new one came
-                    # up. Counted as never sent it was free to be sent 4 times more and was
-                    # answered with "not run": 2 of 135 such attempts had reached targets
-                    # that ended under them (counted in the logs of 7 gateways).
+                    # A request written on the reused connection may have run, even if no
+                    # new connection could be opened.
                     raise SendError(
                         Ending.broken if was_written else Ending.unsent,
                         str(error),
                         is_target_gone=error.is_refused,
-                        was_resent=fresh,
+                        was_resent=use_new_connection,
                     ) from error
-                repeats = outgoing.is_repeatable or not error.was_written
-                if not (error.was_stale and repeats and not fresh):
-                    raise SendError(Ending.broken, str(error), was_resent=fresh) from error
-                # The target had forgotten the connection; a new one tells more.
-                fresh = True
+                may_resend = outgoing.is_repeatable or not error.was_written
+                if not (error.was_stale and may_resend and not use_new_connection):
+                    raise SendError(
+                        Ending.broken, str(error), was_resent=use_new_connection
+                    ) from error
+                # The target closed the idle connection; retry on a new one.
+                use_new_connection = True
 
     def _check_may_send(self, placed: Placed, was_written: bool) -> None:
-        """Keep a request back from a target that wants to be left alone.
+        """Raise if the target's notices block requests.
 
-        Written on a kept connection that failed, it may have run all the same.
+        A request written on a reused connection that failed may have run all the same.
         """
-        kept_back = self._watch.get_block_reason(placed)
-        if kept_back is not None:
+        reason = self._notices.get_block_reason(placed)
+        if reason is not None:
             ending = Ending.broken if was_written else Ending.kept_back
-            raise SendError(ending, f"the target is {kept_back.value}", was_resent=was_written)
+            raise SendError(ending, f"the target is {reason.value}", was_resent=was_written)
 
     async def _send_once(
         self, outgoing: OutgoingRequest, placed: Placed, deadline_s: float, max_idle_s: float | None
@@ -217,20 +216,20 @@
             connection.abort()
             raise
         notice = parse_notice(answer.status, answer.get, self._names, placed.target, placed.born_ms)
-        self._watch.handle_notice(outgoing.request, notice, started_s)
+        self._notices.handle_notice(outgoing.request, notice, started_s)
         sent = SentRequest(placed, connection, answer, started_s, read_clock_s() - started_s)
         try:
             self._check_head(outgoing, answer, notice)
         except SendError as error:
-            await self._finish_refused(sent, error)
+            await self._drain_rejection(sent, error)
             raise
         return sent
 
-    def _write_head(self, outgoing: OutgoingRequest, placed: Placed, left_s: float) -> bytes:
-        left_ms = max(1, int(left_s * 1000))
+    def _write_head(self, outgoing: OutgoingRequest, placed: Placed, remaining_s: float) -> bytes:
+        remaining_ms = max(1, int(remaining_s * 1000))
         headers = [
             *outgoing.headers,
-            (self._names.deadline_ms, str(left_ms)),
+            (self._names.deadline_ms, str(remaining_ms)),
             (self._names.expected_target, placed.target),
         ]
         if outgoing.body or outgoing.method not in ("GET", "HEAD", "DELETE", "OPTIONS"):
@@ -242,17 +241,19 @@
     ) -> None:
         echo = head.get(self._names.request)
         if echo and echo != outgoing.request:
-            raise SendError(Ending.broken, f"the answer is for request {echo!r}", head.status)
+            raise SendError(Ending.broken, f"the response has request ID {echo!r}", head.status)
         if head.status == MISDIRECTED or head.get(self._names.not_run) is not None:
-            detail = "the target did not run it"
+            detail = "the target did not run the request"
             raise SendError(Ending.turned_away, detail, head.status, notice=notice)
         if head.get(self._names.seal) is None or not echo:
-            raise SendError(Ending.broken, "the target's seal is missing", head.status)
+            raise SendError(
+                Ending.broken, "the target's response seal or request ID is missing", head.status
+            )
         if head.get("content-encoding") is not None:
-            raise SendError(Ending.broken, "the body is encoded", head.status)
+            raise SendError(Ending.broken, "the response has a content encoding", head.status)
 
-    async def _finish_refused(self, sent: SentRequest, error: SendError) -> None:
-        """Read a refusal to its end, so that its connection can be kept."""
+    async def _drain_rejection(self, sent: SentRequest, error: SendError) -> None:
+        """Read a rejection to its end, so that its connection can be reused."""
         if error.ending is not Ending.turned_away:
             sent.connection.abort()
             return
@@ -263,12 +264,12 @@
             sent.connection.abort()
 
     async def read_body(self, sent: SentRequest) -> bytes:
-        """Return an answer's whole body and keep its connection.
+        """Return a response's whole body and release its connection.
 
         Raises
         ------
         SendError
-            Where it broke off.
+            If the body is incomplete.
         """
         chunks: list[bytes] = []
         try:
@@ -284,9 +285,9 @@
         return b"".join(chunks)
 
     async def is_gone(self, address: str) -> bool:
-        """Tell whether a target's process has ended."""
+        """Return whether a target's process has ended."""
         return await self._pool.refuses_connections(address)
 
     def release(self, sent: SentRequest) -> None:
-        """Keep the connection of an answer that was read to its end."""
+        """Release the connection of a response that was read to its end."""
         self._pool.release(sent.connection)
--- a/troutstand/tests/steps/relay.py
+++ b/troutstand/tests/steps/relay.py
@@ -123,9 +123,9 @@
             self._looks_before_rest -= 1
         return self.book.get_block_reason(placed.target, placed.born_ms, time.monotonic())
 
-    def handle_notice(self, request: str, notice: TargetNotice, asked_s: float) -> None:
+    def handle_notice(self, request: str, notice: TargetNotice, sent_s: float) -> None:
         """Take what the answer to a request, sent at a time, says of its target."""
-        self.book.record(notice, asked_s, time.monotonic())
+        self.book.record(notice, sent_s, time.monotonic())
 
 
 async def _send_all(context: Context, outgoings: list[OutgoingRequest]) -> None:
