--- a/troutstand/control/rollouts.py
+++ b/troutstand/control/rollouts.py
@@ -13,7 +13,7 @@
 from troutstand.core.errors import TroutstandError
 from troutstand.routing.dialect import ROLLOUTS_PATH
 from troutstand.routing.node import parse_address
-from troutstand.routing.startup import ADDRESS_ACCEPTED, is_address
+from troutstand.routing.startup import ADDRESS_FORMAT, is_address
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -56,7 +56,7 @@
     """
     wrong = [text for text in texts if not is_address(text)]
     if wrong or not texts:
-        detail = f"--keeper {', '.join(wrong) or 'is missing'}: {ADDRESS_ACCEPTED}"
+        detail = f"--keeper {', '.join(wrong) or 'is missing'}: {ADDRESS_FORMAT}"
         raise TroutstandError(ResultCode.USAGE, detail)
     return [parse_address(text) for text in texts]
 
--- a/troutstand/routing/callhandler.py
+++ b/troutstand/routing/callhandler.py
@@ -113,7 +113,7 @@
             self._was_placed = True
             self._waited_ms += decision.waited_ms
             waited_s = decision.waited_ms / 1000.0
-            self._gateway.metrics.waited_s.labels(*self._get_metric_labels()).observe(waited_s)
+            self._gateway.metrics.wait_s.labels(*self._get_metric_labels()).observe(waited_s)
         return decision
 
     def _get_metric_labels(self) -> tuple[str, str]:
@@ -274,7 +274,7 @@
         self, response: web.StreamResponse, sent: SentRequest
     ) -> web.StreamResponse:
         first_s = read_clock_s() - self._call.arrived_s
-        self._gateway.metrics.first_s.labels(*self._get_metric_labels()).observe(first_s)
+        self._gateway.metrics.first_byte_s.labels(*self._get_metric_labels()).observe(first_s)
         self._emit("request_answered", ResultCode.OK, response.status, target=sent.placed.target)
         return response
 
@@ -419,7 +419,7 @@
     def _emit(self, name: str, code: ResultCode, status: int, **fields: str) -> None:
         call = self._call
         now_s = read_clock_s()
-        self._gateway.metrics.answers.labels(*self._get_metric_labels(), str(int(code))).inc()
+        self._gateway.metrics.responses.labels(*self._get_metric_labels(), str(int(code))).inc()
         self._gateway.node.events.emit(
             name,
             call.request,
--- a/troutstand/routing/control.py
+++ b/troutstand/routing/controlserver.py
@@ -21,7 +21,7 @@
     from troutstand.generated.settings import Address
     from troutstand.routing.dialect import Dialect
     from troutstand.routing.lineclient import LineClient
-    from troutstand.routing.rolloutline import RolloutLine
+    from troutstand.routing.rolloutstore import RolloutStore
     from troutstand.util.events import EventBus
 
 MAX_BODY_BYTES = 64 << 20
@@ -39,11 +39,11 @@
     return response
 
 
-class Control:
+class ControlServer:
     """Serve the operators' address of a keeper."""
 
     def __init__(
-        self, line: LineClient, rollouts: RolloutLine, dialect: Dialect, events: EventBus
+        self, line: LineClient, rollouts: RolloutStore, dialect: Dialect, events: EventBus
     ) -> None:
         self._line = line
         self._rollouts = rollouts
--- a/troutstand/routing/dialect.py
+++ b/troutstand/routing/dialect.py
@@ -18,7 +18,7 @@
 from troutstand.core.rollouts.state import RolloutRequest
 from troutstand.generated.configuration import Configuration
 from troutstand.generated.messages import ListedTarget, RolloutOrder, RolloutState
-from troutstand.routing.targetpages import PageForm, TargetPage, decode_page
+from troutstand.routing.targetpages import PageFormat, TargetPage, decode_page
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -57,7 +57,7 @@
     reserved: frozenset[str] = frozenset({"x-target-order"})
 
 
-DEFAULT_PAGE = PageForm(entries="targets", next_token="next", target="target")
+DEFAULT_PAGE = PageFormat(entries="targets", next_token="next", target="target")
 
 
 def decode_default_configuration(data: bytes) -> Configuration:
--- a/troutstand/routing/follower.py
+++ b/troutstand/routing/follower.py
@@ -12,8 +12,8 @@
 from troutstand.core.rollouts.admission import ExposureLimit
 from troutstand.generated.messages import Contact, ContactAsk, ContactReply
 from troutstand.generated.routing import RoutingRole
-from troutstand.routing.knownrollouts import KnownRollouts
 from troutstand.routing.node import RoutingNode, parse_address
+from troutstand.routing.rolloutcache import RolloutCache
 from troutstand.util.clock import read_clock_s
 
 if TYPE_CHECKING:
@@ -45,7 +45,7 @@
         self.table: RouteTable | None = None
         settings = node.settings
         bound = ExposureLimit(settings.exposure_share, settings.exposure_extra)
-        self.rollouts = KnownRollouts(node.events, settings.rollback_s, bound)
+        self.rollouts = RolloutCache(node.events, settings.rollback_s, bound)
         self._node = node
         self._dialect = dialect
         self._on_table = on_table
@@ -121,7 +121,7 @@
             return False
         self._patience_s = _ASK_S
         self._hear(reply.contact, reply.known)
-        self.rollouts.hear(reply, asked_s)
+        self.rollouts.handle_reply(reply, asked_s)
         if reply.known_digest != self._digest:
             self._digest = reply.known_digest
             self._listed = [contact.process for contact in reply.known]
--- a/troutstand/routing/keeper.py
+++ b/troutstand/routing/keeper.py
@@ -42,12 +42,12 @@
     VersionsSeen,
 )
 from troutstand.generated.routing import RoutingRole
-from troutstand.routing.control import Control
+from troutstand.routing.controlserver import ControlServer
 from troutstand.routing.keeperreplacement import KeeperReplacement
 from troutstand.routing.lineclient import LineClient
 from troutstand.routing.node import RoutingNode, make_process_id, parse_address
 from troutstand.routing.recoveringjournal import RecoveringJournal
-from troutstand.routing.rolloutline import RolloutLine, decode_book
+from troutstand.routing.rolloutstore import RolloutStore, decode_book
 from troutstand.util.clock import read_clock_s
 
 if TYPE_CHECKING:
@@ -121,12 +121,12 @@
         )
         self.registers.learn_keepers(self.acceptor.keepers)
         self.line = self._make_line(Line.configuration)
-        self.rollouts = RolloutLine(self._make_line(Line.rollouts), self.node.events)
+        self.rollouts = RolloutStore(self._make_line(Line.rollouts), self.node.events)
         self.replacement = KeeperReplacement(self)
         self._compressed = (0, b"")
         # The peers whose last content was broken.
         self._unreadable: set[ProcessId] = set()
-        self._control = Control(self.line, self.rollouts, dialect, self.node.events)
+        self._control = ControlServer(self.line, self.rollouts, dialect, self.node.events)
 
     def _make_line(self, line: Line) -> LineClient:
         return LineClient(
@@ -193,7 +193,7 @@
             case RolloutAdvance():
                 return self._answer_rollout(self.rollouts.advance(message))
             case VersionsSeen():
-                return self._answer_rollout(self.rollouts.note_versions(message))
+                return self._answer_rollout(self.rollouts.record_versions(message))
             case KeepersAsk():
                 return self.acceptor.report_keepers()
             case KeepersInstall(keepers):
--- a/troutstand/routing/metrics.py
+++ b/troutstand/routing/metrics.py
@@ -24,7 +24,7 @@
 
     def __init__(self, events: EventBus) -> None:
         self.registry = CollectorRegistry()
-        self.counted = Counter(
+        self.event_count = Counter(
             "troutstand_events",
             "Events by name and result code",
             ["event", "code"],
@@ -44,9 +44,9 @@
         events.subscribe(self._count)
 
     def _count(self, event: Event) -> None:
-        self.counted.labels(event.name, str(int(event.code))).inc()
+        self.event_count.labels(event.name, str(int(event.code))).inc()
 
-    async def watch_loop(self) -> None:
+    async def measure_loop_lag(self) -> None:
         """Measure by how much the loop wakes late, until cancelled."""
         while True:
             before_s = read_clock_s()
@@ -68,20 +68,20 @@
 
     def __init__(self, events: EventBus) -> None:
         super().__init__(events)
-        self.answers = Counter(
+        self.responses = Counter(
             "troutstand_answers",
             "Requests by route kind, tier and result code",
             ["kind", "tier", "code"],
             registry=self.registry,
         )
-        self.first_s = Histogram(
+        self.first_byte_s = Histogram(
             "troutstand_first_byte_seconds",
             "Seconds from a request's arrival to the first byte of its answer",
             ["kind", "tier"],
             buckets=_SECONDS,
             registry=self.registry,
         )
-        self.waited_s = Histogram(
+        self.wait_s = Histogram(
             "troutstand_waited_seconds",
             "Seconds that a request waited for a target",
             ["kind", "tier"],
--- a/troutstand/routing/node.py
+++ b/troutstand/routing/node.py
@@ -116,7 +116,7 @@
 
     async def start_metrics(self) -> None:
         """Serve metrics, where the settings name a port."""
-        self.spawn(self.metrics.watch_loop(), "loop lag")
+        self.spawn(self.metrics.measure_loop_lag(), "loop lag")
         self.spawn(watch_suspends(self._note_suspended), "suspends")
         port = self.settings.metrics_port
         if port:
--- a/troutstand/routing/placement.py
+++ b/troutstand/routing/placement.py
@@ -46,7 +46,7 @@
     Decider,
     LocalDecider,
 )
-from troutstand.routing.targetlist import ListUnreadError
+from troutstand.routing.targetlist import TargetListError
 from troutstand.util.clock import read_clock_s
 from troutstand.util.noticelog import emit_notice_received
 
@@ -55,8 +55,8 @@
     from troutstand.core.ids import ProcessId
     from troutstand.core.selfreport import BlockReason
     from troutstand.generated.messages import PeerMessage, TargetNotice
-    from troutstand.routing.knownrollouts import KnownRollouts
     from troutstand.routing.node import RoutingNode
+    from troutstand.routing.rolloutcache import RolloutCache
     from troutstand.routing.targetlist import TargetList
 
 _TICK_S = 0.05
@@ -70,7 +70,7 @@
 class Placement:
     """Request placements and report their results to the decider."""
 
-    def __init__(self, node: RoutingNode, targets: TargetList, rollouts: KnownRollouts) -> None:
+    def __init__(self, node: RoutingNode, targets: TargetList, rollouts: RolloutCache) -> None:
         self._node = node
         self._targets = targets
         self._rollouts = rollouts
@@ -125,7 +125,7 @@
 
         Canary sampling is disabled, since their outcomes would not reach a scheduler.
         """
-        local.update_rollouts(self._rollouts.view(now_s, may_sample=False))
+        local.update_rollouts(self._rollouts.make_view(now_s, may_sample=False))
 
     @property
     def _current(self) -> Decider:
@@ -320,7 +320,7 @@
     def handle_reply(self, process: ProcessId, reply: Attached) -> None:
         """Apply a scheduler's answer to a heartbeat."""
         is_used = process == self._current or self._is_local()
-        if reply.has_targets and is_used and self._targets.take(reply):
+        if reply.has_targets and is_used and self._targets.apply_update(reply):
             self._notices.prune(self._targets.targets, read_clock_s())
             self._local.update_targets(self._targets.targets, read_clock_s(), is_from_peer=True)
             self._deliver_local()
@@ -405,11 +405,11 @@
                 continue
             try:
                 changed = await self._targets.read()
-            except ListUnreadError as error:
+            except TargetListError as error:
                 age_s = self._targets.age_s
                 self._node.events.emit("targets_unread", detail=str(error), age_s=age_s)
                 continue
-            self._targets.emit_spoiled(self._node.events)
+            self._targets.emit_invalid_entries(self._node.events)
             self._notices.prune(self._targets.targets, read_clock_s())
             if changed and self._is_local():
                 self._local.update_targets(self._targets.targets, read_clock_s())
--- a/troutstand/routing/knownrollouts.py
+++ b/troutstand/routing/rolloutcache.py
@@ -21,14 +21,14 @@
 
 
 @dataclass(frozen=True)
-class HeardOrder:
+class ReceivedOrder:
     """Keep when an order was heard of, and how old it was then; in seconds."""
 
-    heard_s: float
+    received_s: float
     age_s: float
 
 
-class KnownRollouts:
+class RolloutCache:
     """Hold the book; it only moves forward.
 
     Parameters
@@ -46,10 +46,10 @@
         self._lease_s = _LEASE_SHARE * rollback_s
         self._bound = bound
         self._confirmed_s = float("-inf")
-        self._orders: dict[int, HeardOrder] = {}
+        self._orders: dict[int, ReceivedOrder] = {}
         self._switched_s: dict[int, float] = {}
 
-    def hear(self, reply: ContactReply, asked_s: float) -> None:
+    def handle_reply(self, reply: ContactReply, asked_s: float) -> None:
         """Take a keeper's word; it confirms the book where a newer one would be known to it."""
         if reply.rollouts is not None:
             self.install(reply.rollouts, reply.rollouts_version)
@@ -81,24 +81,24 @@
         """Tell whether the book was confirmed lately enough to send to a version on trial."""
         return now_s - self._confirmed_s < self._lease_s
 
-    def view(self, now_s: float, may_sample: bool) -> RolloutView:
+    def make_view(self, now_s: float, may_sample: bool) -> RolloutView:
         """Describe the book to a decider."""
         return RolloutView(self.book, self.is_leased(now_s), may_sample, self._bound)
 
-    def measure_age(self, order: RolloutOrder, now_s: float) -> float:
+    def get_order_age_s(self, order: RolloutOrder, now_s: float) -> float:
         """Return the seconds since an order was taken.
 
         The steady clock counts from when it was heard of; only the age it had then comes
         from the time of day, which may be wrong or jump.
         """
         heard = self._orders[order.number]
-        return heard.age_s + now_s - heard.heard_s
+        return heard.age_s + now_s - heard.received_s
 
-    def measure_switched(self, order: RolloutOrder, now_s: float) -> float:
+    def measure_switched_s(self, order: RolloutOrder, now_s: float) -> float:
         """Return the seconds since this process first acted on an order's switch."""
         return now_s - self._switched_s.setdefault(order.number, now_s)
 
 
-def _hear_order(order: RolloutOrder, now_s: float) -> HeardOrder:
+def _hear_order(order: RolloutOrder, now_s: float) -> ReceivedOrder:
     age_s = min(order.duration_s, max(0.0, time.time() - order.began_at_s))
-    return HeardOrder(now_s, age_s)
+    return ReceivedOrder(now_s, age_s)
--- a/troutstand/routing/rolloutdriver.py
+++ b/troutstand/routing/rolloutdriver.py
@@ -29,8 +29,8 @@
     from troutstand.core.rollouts.planning import Step
     from troutstand.generated.messages import ListedTarget, PeerMessage, RolloutOrder
     from troutstand.routing.follower import Follower
-    from troutstand.routing.knownrollouts import KnownRollouts
     from troutstand.routing.node import RoutingNode
+    from troutstand.routing.rolloutcache import RolloutCache
 
 _PERIOD_S = 0.25
 # A keeper answers once its majority has decided, or gives up after 2.5 s.
@@ -61,7 +61,7 @@
         self._node = node
         self._dispatcher = dispatcher
         self._follower = follower
-        self._known: KnownRollouts = follower.rollouts
+        self._known: RolloutCache = follower.rollouts
         self._read_lead = read_lead
         self._asking: set[str] = set()
         self._logged_s: dict[str, float] = {}
@@ -105,12 +105,12 @@
         return RolloutProgress(
             order=order,
             evaluation=pool.canary.evaluate(order.number, now_s),
-            elapsed_s=self._known.measure_age(order, now_s),
-            switched_s=self._known.measure_switched(order, now_s) if is_switching else 0.0,
+            elapsed_s=self._known.get_order_age_s(order, now_s),
+            switched_s=self._known.measure_switched_s(order, now_s) if is_switching else 0.0,
             hold_s=pool.hold_s or 0.0,
             old_running=_count_old(pool, order.version),
             max_request_s=self._find_longest(service),
-            exposure_left_s=_measure_affordable(pool, self._known.measure_age(order, now_s)),
+            exposure_left_s=_measure_affordable(pool, self._known.get_order_age_s(order, now_s)),
             gateway_share=self._read_lead(),
         )
 
@@ -166,7 +166,7 @@
 
     # Which version serves
 
-    def note_versions(self, listed: list[ListedTarget]) -> None:
+    def report_versions(self, listed: list[ListedTarget]) -> None:
         """Tell the keepers which version serves, where the book does not say so yet.
 
         Only a list read before any order can tell; from then on orders alone change it.
@@ -186,7 +186,7 @@
             self._is_noting = False
 
 
-def list_unknown(known: KnownRollouts, listed: list[ListedTarget]) -> list[ServiceRollout]:
+def list_unknown(known: RolloutCache, listed: list[ListedTarget]) -> list[ServiceRollout]:
     """Return the version that most targets run, of each service without one in the book."""
     counts: dict[str, Counter[str]] = {}
     for entry in listed:
--- a/troutstand/routing/rolloutline.py
+++ b/troutstand/routing/rolloutstore.py
@@ -25,7 +25,7 @@
     return decode_record(stored.content, RolloutBook) if stored.version else RolloutBook()
 
 
-class RolloutLine:
+class RolloutStore:
     """Drive changes of the rollout book from one keeper."""
 
     def __init__(self, line: LineClient, events: EventBus) -> None:
@@ -70,7 +70,7 @@
             lambda book, _: advance(book, ask.service, ask.number, ask.state, ask.detail)
         )
 
-    async def note_versions(self, seen: VersionsSeen) -> RolloutsTold:
+    async def record_versions(self, seen: VersionsSeen) -> RolloutsTold:
         """Note which version serves where that is not known yet."""
         return await self._change(lambda book, _: record_versions(book, seen.services))
 
--- a/troutstand/routing/scheduler.py
+++ b/troutstand/routing/scheduler.py
@@ -35,7 +35,7 @@
 from troutstand.routing.loadreport import LoadReport
 from troutstand.routing.node import RoutingNode
 from troutstand.routing.rolloutdriver import RolloutDriver
-from troutstand.routing.targetlist import ListUnreadError, TargetList, ToldList
+from troutstand.routing.targetlist import TargetList, TargetListError, TargetListUpdate
 from troutstand.util.clock import read_clock_s
 from troutstand.util.noticelog import emit_notice_accepted
 
@@ -250,7 +250,9 @@
         # decides alone. A standby's list may be older and would be dropped: 1.7 MB/s in vain
         # at each standby, with 95 gateways and 1,001 targets.
         is_taken = self._has_list and (ask.is_attached or not ask.asks)
-        told = self.targets.tell(ask.targets_version, now_s) if is_taken else ToldList()
+        told = (
+            self.targets.make_update(ask.targets_version, now_s) if is_taken else TargetListUpdate()
+        )
         crashes = self.dispatcher.crashes
         has_crashes = ask.is_attached and ask.crashes_version != crashes.version
         most_asked = self._gateways.find_most_used_scheduler()
@@ -262,9 +264,9 @@
             attached=self._gateways.count_attached(),
             targets_version=self.targets.version,
             targets=told.targets,
-            has_targets=told.is_told,
+            has_targets=told.has_targets,
             targets_base=told.base,
-            gone=told.gone,
+            gone=told.removed,
             is_ready=self.is_ready,
             ready_s=self._measure_ready(now_s),
             most_asked=most_asked.scheduler,
@@ -330,7 +332,7 @@
         self.dispatcher.update_table(table, now_s)
 
     def _follow_rollouts(self, now_s: float) -> None:
-        self.dispatcher.update_rollouts(self.follower.rollouts.view(now_s, may_sample=True))
+        self.dispatcher.update_rollouts(self.follower.rollouts.make_view(now_s, may_sample=True))
 
     async def _run_list(self) -> None:
         while True:
@@ -345,10 +347,10 @@
                     self._follow_rollouts(now_s)
                     self.dispatcher.update_targets(self.targets.targets, now_s)
                     self._deliver()
-                self.targets.emit_spoiled(self.node.events)
+                self.targets.emit_invalid_entries(self.node.events)
                 self._has_list = True
-                self.rollouts.note_versions(self.targets.targets)
-            except ListUnreadError as error:
+                self.rollouts.report_versions(self.targets.targets)
+            except TargetListError as error:
                 age_s = self.targets.age_s
                 self.node.events.emit("targets_unread", detail=str(error), age_s=age_s)
             is_busy = self._gateways.count_attached() > 0 or not self._has_list
--- a/troutstand/routing/startup.py
+++ b/troutstand/routing/startup.py
@@ -21,7 +21,7 @@
     RoutingRole.keeper: ("data_folder",),
 }
 _MOST_PORT = 65535
-ADDRESS_ACCEPTED = f"IPv4:PORT or [IPv6]:PORT with a port from 1 to {_MOST_PORT} is accepted"
+ADDRESS_FORMAT = f"IPv4:PORT or [IPv6]:PORT with a port from 1 to {_MOST_PORT} is accepted"
 _IP_ACCEPTED = "an IPv4 or IPv6 number is accepted"
 
 
@@ -59,7 +59,7 @@
 
 def _check_addresses(settings: RoutingSettings) -> list[TroutstandError]:
     return [
-        TroutstandError(ResultCode.SETTINGS_INVALID, f"{field} {text!r}, {ADDRESS_ACCEPTED}")
+        TroutstandError(ResultCode.SETTINGS_INVALID, f"{field} {text!r}, {ADDRESS_FORMAT}")
         for field, text in _list_addresses(settings)
         if not is_address(text)
     ]
--- a/troutstand/routing/targetlist.py
+++ b/troutstand/routing/targetlist.py
@@ -18,7 +18,7 @@
 )
 from troutstand.generated.messages import ListedState
 from troutstand.routing.httpclient import ConnectionPool, ExchangeError, encode_request_head
-from troutstand.routing.targetpages import SoundEntries, SpoiledEntry, TargetPage
+from troutstand.routing.targetpages import InvalidEntry, TargetPage, ValidEntryCache
 from troutstand.util.clock import read_clock_s
 
 if TYPE_CHECKING:
@@ -34,12 +34,12 @@
 _MAX_LINES = 20
 
 
-class ListUnreadError(Exception):
+class TargetListError(Exception):
     """Report that the list could not be read."""
 
 
 @dataclass(frozen=True)
-class ToldList:
+class TargetListUpdate:
     """Hold what a gateway is told of the list of targets.
 
     Parameters
@@ -48,9 +48,9 @@
         The list from which the targets are the changes; empty where they are all of it.
     """
 
-    is_told: bool = False
+    has_targets: bool = False
     targets: list[ListedTarget] = field(default_factory=list)
-    gone: list[str] = field(default_factory=list)
+    removed: list[str] = field(default_factory=list)
     base: str = ""
 
 
@@ -65,9 +65,9 @@
         self._address = address
         self._dialect = dialect
         self._pool = ConnectionPool(_CONNECT_S)
-        self._sound = SoundEntries()
-        self._spoiled: frozenset[SpoiledEntry] = frozenset()
-        self._spoiled_news: list[SpoiledEntry] = []
+        self._sound = ValidEntryCache()
+        self._spoiled: frozenset[InvalidEntry] = frozenset()
+        self._spoiled_news: list[InvalidEntry] = []
         self._read_s = read_clock_s()
 
     def install(self, targets: list[ListedTarget], version: str) -> None:
@@ -76,7 +76,7 @@
             self._history.record(self.version, diff_target_lists(self.targets, targets))
         self.targets, self.version = targets, version
 
-    def take(self, told: Attached) -> bool:
+    def apply_update(self, told: Attached) -> bool:
         """Take the list that a scheduler tells, or what changed; tell whether it fits."""
         if not told.targets_base:
             self.install(told.targets, told.targets_version)
@@ -88,21 +88,21 @@
         self.install(change.apply(self.targets), told.targets_version)
         return True
 
-    def tell(self, version: str, now_s: float) -> ToldList:
+    def make_update(self, version: str, now_s: float) -> TargetListUpdate:
         """Return what a gateway is told that holds the list of a version.
 
         Told whole at each change, 270 gateways got 72 MB for one of 3,000 targets that left,
         and 0.2 MB with what had changed alone.
         """
         if version == self.version:
-            return ToldList()
+            return TargetListUpdate()
         change = self._history.find_diff_since(version)
         if change is not None:
-            return ToldList(True, change.updated, change.removed, version)
+            return TargetListUpdate(True, change.updated, change.removed, version)
         if self.full_list_limiter.try_acquire(len(self.targets), now_s):
-            return ToldList(True, self.targets)
+            return TargetListUpdate(True, self.targets)
         # It goes by the list that it has, and asks again with its next heartbeat.
-        return ToldList()
+        return TargetListUpdate()
 
     def list_leaving(self) -> list[str]:
         """Return the targets that the held list shows as leaving."""
@@ -120,9 +120,9 @@
             async with asyncio.timeout(_TIMEOUT_S):
                 pages = await self._read_pages()
         except (TimeoutError, ExchangeError, TroutstandError) as error:
-            raise ListUnreadError(str(error) or type(error).__name__) from error
+            raise TargetListError(str(error) or type(error).__name__) from error
         self._read_s = read_clock_s()
-        self._note_spoiled(pages)
+        self._record_invalid_entries(pages)
         targets = self._sound.merge(pages, self._read_s)
         targets.sort(key=lambda entry: entry.target)
         version = _digest(targets)
@@ -135,12 +135,12 @@
         """Return how long ago the list was read here, in seconds."""
         return read_clock_s() - self._read_s
 
-    def _note_spoiled(self, pages: list[TargetPage]) -> None:
-        spoiled = frozenset(entry for page in pages for entry in page.spoiled)
+    def _record_invalid_entries(self, pages: list[TargetPage]) -> None:
+        spoiled = frozenset(entry for page in pages for entry in page.invalid)
         self._spoiled_news.extend(spoiled - self._spoiled)
         self._spoiled = spoiled
 
-    def emit_spoiled(self, events: EventBus) -> None:
+    def emit_invalid_entries(self, events: EventBus) -> None:
         """Write a line for each spoiled entry that the list before did not hold."""
         news, self._spoiled_news = self._spoiled_news, []
         for entry in news[:_MAX_LINES]:
@@ -161,7 +161,7 @@
             token = page.next_token
             if token is None:
                 return pages
-        raise ListUnreadError(f"more than {_MAX_PAGES} pages")
+        raise TargetListError(f"more than {_MAX_PAGES} pages")
 
     async def _get(self, token: str | None) -> bytes:
         connection = await self._pool.acquire(self._address)
@@ -177,7 +177,7 @@
             raise
         self._pool.release(connection)
         if answer.status != _STATUS_OK:
-            raise ListUnreadError(f"status {answer.status}")
+            raise TargetListError(f"status {answer.status}")
         return data
 
     def close(self) -> None:
--- a/troutstand/routing/targetpages.py
+++ b/troutstand/routing/targetpages.py
@@ -16,7 +16,7 @@
 from troutstand.core.codes import ResultCode
 from troutstand.core.errors import TroutstandError
 from troutstand.generated.messages import ListedState
-from troutstand.routing.startup import ADDRESS_ACCEPTED, is_address
+from troutstand.routing.startup import ADDRESS_FORMAT, is_address
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterator
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True)
-class SpoiledEntry:
+class InvalidEntry:
     """Tell of an entry that names no target; the target is empty where it cannot be read."""
 
     target: str
@@ -47,11 +47,11 @@
 
     targets: list[ListedTarget]
     next_token: str | None
-    spoiled: list[SpoiledEntry] = field(default_factory=list)
+    invalid: list[InvalidEntry] = field(default_factory=list)
 
 
 @dataclass(frozen=True)
-class PageForm:
+class PageFormat:
     """Name the fields of a page in one deployment's form."""
 
     entries: str
@@ -60,7 +60,7 @@
 
 
 def decode_page(
-    data: bytes, form: PageForm, kind: type[T], translate: Callable[[T], ListedTarget]
+    data: bytes, form: PageFormat, kind: type[T], translate: Callable[[T], ListedTarget]
 ) -> TargetPage:
     """Decode a page; entries that name no target are told apart.
 
@@ -71,14 +71,14 @@
     """
     entries, next_token = _split_page(data, form)
     targets: list[ListedTarget] = []
-    spoiled: list[SpoiledEntry] = []
+    spoiled: list[InvalidEntry] = []
     for entry in entries:
         try:
             targets.append(_check_target(translate(_decode_entry(entry, kind))))
         except (msgspec.MsgspecError, UnicodeDecodeError, TroutstandError) as error:
             detail = error.detail if isinstance(error, TroutstandError) else str(error)
             name = _read_name(entry, form.target)
-            spoiled.append(SpoiledEntry(name, detail[:_MAX_CAUSE]))
+            spoiled.append(InvalidEntry(name, detail[:_MAX_CAUSE]))
     return TargetPage(targets, next_token, spoiled)
 
 
@@ -94,7 +94,7 @@
     if not target.service:
         raise TroutstandError(ResultCode.FIELD_INVALID, "the service is empty")
     if not is_address(target.address):
-        detail = f"address {target.address!r}, {ADDRESS_ACCEPTED}"
+        detail = f"address {target.address!r}, {ADDRESS_FORMAT}"
         raise TroutstandError(ResultCode.FIELD_INVALID, detail)
     if target.slots < 1:
         raise TroutstandError(
@@ -122,7 +122,7 @@
     at_s: float
 
 
-class SoundEntries:
+class ValidEntryCache:
     """Keep targets for a while whose entries cannot be read."""
 
     def __init__(self) -> None:
@@ -135,7 +135,7 @@
         no new work; one that cannot be told may be any target's, and changes nothing.
         """
         sound = {entry.target: entry for page in pages for entry in page.targets}
-        spoiled = {entry.target for page in pages for entry in page.spoiled}
+        spoiled = {entry.target for page in pages for entry in page.invalid}
         held: list[ListedTarget] = []
         for target, seen in list(self._seen.items()):
             if target in sound:
@@ -153,7 +153,7 @@
 # Taking a page apart
 
 
-def _split_page(data: bytes, form: PageForm) -> tuple[list[Any], str | None]:
+def _split_page(data: bytes, form: PageFormat) -> tuple[list[Any], str | None]:
     """Return a page's entries and the token of the next page."""
     try:
         page = msgspec.json.decode(data, type=dict[str, msgspec.Raw])
@@ -165,7 +165,7 @@
     return entries, token
 
 
-def _salvage_page(data: bytes, form: PageForm) -> tuple[list[Any], str | None]:
+def _salvage_page(data: bytes, form: PageFormat) -> tuple[list[Any], str | None]:
     """Read what can be read of a page that is not well-formed.
 
     Raises
--- a/troutstand/tests/steps/attaching.py
+++ b/troutstand/tests/steps/attaching.py
@@ -129,7 +129,7 @@
         reply = context.scheduler.handle(held.name, ask)
         context.told += len(encode_record(reply))
         if reply.has_targets:
-            held.targets.take(reply)
+            held.targets.apply_update(reply)
 
 
 def _count_equal(context: Context) -> int:
--- a/troutstand/tests/steps/lives.py
+++ b/troutstand/tests/steps/lives.py
@@ -131,7 +131,9 @@
 def write_born(context: Context, born: str) -> None:
     targets = load_folder()[2]
     entry = {**LISTED, "born": json.loads(born)}
-    data = json.dumps({targets.FORM.entries: [entry], targets.FORM.next_token: None}).encode()
+    data = json.dumps(
+        {targets.PAGE_FORMAT.entries: [entry], targets.PAGE_FORMAT.next_token: None}
+    ).encode()
     context.page = targets.decode_targets(data)
 
 
--- a/troutstand/tests/steps/platform.py
+++ b/troutstand/tests/steps/platform.py
@@ -258,8 +258,8 @@
     assert [t.state for t in decoded.targets] == [ListedState.ready, ListedState.draining]
     assert decoded.targets[0].failure_domain == "z"
     assert [t.version for t in decoded.targets] == ["v2", ""]
-    assert len(decoded.spoiled) == len(lacking), decoded.spoiled
-    assert targets.name_targets_path(decoded.next_token).endswith("pageToken=p%202")
+    assert len(decoded.invalid) == len(lacking), decoded.invalid
+    assert targets.get_targets_path(decoded.next_token).endswith("pageToken=p%202")
 
 
 @then("the platform's order for a rollout becomes the product's")
--- a/troutstand/tests/steps/targetpages.py
+++ b/troutstand/tests/steps/targetpages.py
@@ -16,7 +16,7 @@
 from troutstand.generated.messages import ListedState, ListedTarget
 from troutstand.generated.routing import RoutingRole
 from troutstand.routing.dialect import DEFAULT_PAGE, decode_default_targets
-from troutstand.routing.targetpages import PageForm, SoundEntries, SpoiledEntry, TargetPage
+from troutstand.routing.targetpages import InvalidEntry, PageFormat, TargetPage, ValidEntryCache
 from troutstand.testing.routedscene import Scene
 from troutstand.testing.routedsite import wait_until
 from troutstand.tests.environment import make_folder, next_subnet
@@ -43,7 +43,7 @@
     def __init__(self, form: str) -> None:
         targets = load_folder()[2]
         is_own = form == "own"
-        self.form: PageForm = DEFAULT_PAGE if is_own else targets.FORM
+        self.form: PageFormat = DEFAULT_PAGE if is_own else targets.PAGE_FORMAT
         self.entry: dict[str, object] = dict(_OWN if is_own else LISTED)
         self.decode: Callable[[bytes], TargetPage]
         self.decode = decode_default_targets if is_own else targets.decode_targets
@@ -111,7 +111,7 @@
 def check_page(context: Context) -> None:
     page = context.writer.decode(context.page)
     assert [entry.target for entry in page.targets] == ["a", "b"], page
-    assert len(page.spoiled) == 1 and page.spoiled[0].cause, page
+    assert len(page.invalid) == 1 and page.invalid[0].cause, page
     assert page.next_token == "p-2", page
 
 
@@ -163,7 +163,7 @@
         names = [entry.target for entry in page.targets]
         assert names[0] == "a" and names[-1] == "b", page
         assert page.next_token == "p-2", page
-        assert len(page.targets) + len(page.spoiled) == len(entries) + 2, page
+        assert len(page.targets) + len(page.invalid) == len(entries) + 2, page
         for entry in page.targets[1:-1]:
             assert entry.target and entry.service and entry.slots >= 1, entry
             assert isinstance(entry.state, ListedState), entry
@@ -206,7 +206,7 @@
 
 @given("a list that named the targets a and b")
 def make_list(context: Context) -> None:
-    context.sound = SoundEntries()
+    context.sound = ValidEntryCache()
     both = TargetPage([_list_entry("a"), _list_entry("b")], None)
     listed = context.sound.merge([both], 100.0)
     assert [entry.target for entry in listed] == ["a", "b"]
@@ -215,8 +215,8 @@
 @when("the entry of a {fault}")
 def spoil_entry(context: Context, fault: str) -> None:
     spoiled = {
-        "is unreadable": [SpoiledEntry("", "cut")],
-        "has an unknown state": [SpoiledEntry("a", "state")],
+        "is unreadable": [InvalidEntry("", "cut")],
+        "has an unknown state": [InvalidEntry("a", "state")],
         "is gone": [],
     }[fault]
     context.page = TargetPage([_list_entry("b")], None, spoiled)
