--- a/troutstand/routing/scheduler.py
+++ b/troutstand/routing/scheduler.py
@@ -1,4 +1,4 @@
-"""Run a scheduler: the queue of a whole site, for the gateways that ask it."""
+"""Run a scheduler, which places the requests of the gateways attached to it."""
 
 from __future__ import annotations
 
@@ -48,23 +48,23 @@
     from troutstand.generated.routing import RoutingSettings
     from troutstand.routing.dialect import Dialect
 
-_TICK_S = 0.05
-_STANDBY_TICK_S = 0.5
-# A tick that takes this share of the time between two is logged, in seconds.
-_SLOW_TICK_S = 0.2 * _TICK_S
-_SLOW_TICK_EVERY_S = 1.0
-# Summing up the windows of all limits takes as long as a few placements.
-_LEVELS_S = 0.1
-_LIST_S = 0.9
-_STANDBY_LIST_S = 5.0
-_MIN_PERIOD_S = 0.1
-_PERIOD_PER_GATEWAY_S = 0.0035
-_LEAVE_S = 1.0
-_THOUSANDTHS = 1000.0
+_TICK_PERIOD_S = 0.05
+_STANDBY_TICK_PERIOD_S = 0.5
+# A longer tick delays placements and is logged.
+_SLOW_TICK_S = 0.2 * _TICK_PERIOD_S
+_SLOW_TICK_LOG_PERIOD_S = 1.0
+# Cached, since summing the windows of all limits costs as much as several placements.
+_LEVELS_TTL_S = 0.1
+_LIST_PERIOD_S = 0.9
+_STANDBY_LIST_PERIOD_S = 5.0
+_MIN_HEARTBEAT_PERIOD_S = 0.1
+_HEARTBEAT_PERIOD_PER_GATEWAY_S = 0.0035
+_DRAIN_S = 1.0
+_MILLI_PER_UNIT = 1000.0
 
 
 class RoutingScheduler:
-    """Serve the gateways that chose this process."""
+    """Place requests for the gateways attached to this process."""
 
     def __init__(self, settings: RoutingSettings, dialect: Dialect) -> None:
         self.node = RoutingNode(settings)
@@ -75,7 +75,7 @@
             settings.retry_ratio, settings.retry_extra, settings.retry_window_s
         )
         self.dispatcher = Dispatcher(self.quotas, self.retries, options=self.node.load_options)
-        self.follower = Follower(self.node, dialect, self._use_table)
+        self.follower = Follower(self.node, dialect, self._update_table)
         self.targets = TargetList(settings.target_list, dialect)
         self._gateways = GatewayRegistry()
         self._load_report = LoadReport(self.node)
@@ -83,44 +83,44 @@
             self.node, self.dispatcher, self.follower, self._gateways.get_attached_share
         )
         self._pending: dict[tuple[str, str], asyncio.Future[PeerMessage | None]] = {}
-        self._limits: dict[str, tuple[float, float]] = {}
-        self._levels: tuple[float, list[Level]] = (float("-inf"), [])
-        self._is_leaving = False
+        self._logged_limits: dict[str, tuple[float, float]] = {}
+        self._cached_levels: tuple[float, list[Level]] = (float("-inf"), [])
+        self._is_stopping = False
         self._has_list = False
         self._ready_since_s = read_clock_s()
-        self._slow_tick_s = float("-inf")
-        self._list_wanted = asyncio.Event()
+        self._slow_tick_logged_s = float("-inf")
+        self._list_requested = asyncio.Event()
 
     async def start(self) -> None:
-        """Open the links and begin to follow configuration and targets."""
+        """Open the links and start the background tasks."""
         self.node.start_event_log()
         await self.node.listen(self.handle)
         await self.node.start_metrics()
         self.node.state = ProcessState.serving
         self.node.spawn(self.follower.run(), "follower")
-        self.node.spawn(self._run_list(), "target list")
+        self.node.spawn(self._run_list_reads(), "target list")
         self.node.spawn(self._run_ticks(), "ticks")
         self.node.spawn(self.rollouts.run(), "rollouts")
 
     async def stop(self) -> None:
-        """Send the gateways to another scheduler, then close."""
-        self._is_leaving = True
+        """Report not ready until the gateways have switched to another scheduler, then close."""
+        self._is_stopping = True
         self.node.events.emit("stop_started", attached=self._gateways.count_attached())
-        await asyncio.sleep(_LEAVE_S)
+        await asyncio.sleep(_DRAIN_S)
         self.targets.close()
         await self.node.close()
 
     @property
     def is_ready(self) -> bool:
-        """Tell whether gateways may ask this scheduler."""
-        return self._has_list and self.follower.table is not None and not self._is_leaving
+        """Return whether gateways may attach to this scheduler."""
+        return self._has_list and self.follower.table is not None and not self._is_stopping
 
     # Messages
 
     def handle(
         self, peer: ProcessId, message: PeerMessage
     ) -> PeerMessage | Awaitable[PeerMessage | None] | None:
-        """Answer a gateway."""
+        """Handle a message from a gateway."""
         now_s = read_clock_s()
         match message:
             case Place(work):
@@ -129,42 +129,44 @@
                 )
                 self._pending[(peer, work.request)] = future
                 self.dispatcher.place(work, peer, now_s)
-                self._deliver()
+                self._deliver_decisions()
                 return future
             case FirstByte():
                 self.dispatcher.record_first_byte(message, now_s)
             case Ended():
                 self.dispatcher.finish(message, now_s)
             case TargetNotices(notices):
-                self._note_notices(peer, notices, now_s)
+                self._apply_notices(peer, notices, now_s)
             case Abandon(request):
                 self.dispatcher.abandon(request, now_s)
-                self._settle(peer, request, None)
+                self._resolve(peer, request, None)
             case AttachAsk():
                 return self._handle_attach(peer, message, now_s)
             case _:
-                return Refused(int(ResultCode.LINK_MALFORMED), "not for a scheduler")
-        self._deliver()
+                return Refused(
+                    int(ResultCode.LINK_MALFORMED), "message type not handled by a scheduler"
+                )
+        self._deliver_decisions()
         return None
 
-    def _note_notices(self, peer: ProcessId, notices: list[TargetNotice], now_s: float) -> None:
+    def _apply_notices(self, peer: ProcessId, notices: list[TargetNotice], now_s: float) -> None:
         for notice in self.dispatcher.apply_notices(peer, notices, now_s):
             emit_notice_accepted(self.node.events, peer, notice)
 
-    def _settle(self, owner: str, request: str, answer: PeerMessage | None) -> bool:
+    def _resolve(self, owner: str, request: str, answer: PeerMessage | None) -> bool:
         future = self._pending.pop((owner, request), None)
         if future is None or future.done():
             return False
         future.set_result(answer)
         return True
 
-    def _deliver(self) -> None:
+    def _deliver_decisions(self) -> None:
         now_s = read_clock_s()
         emit_link_changes(self.node.events, self.dispatcher.reach.drain_changes(), SCHEDULER)
         emit_suspicion_changes(self.node.events, self.dispatcher.crashes.drain_changes(), SCHEDULER)
         for decision in self.dispatcher.drain_decisions():
             answer = decision.answer
-            settled = self._settle(decision.owner, answer.request, answer)
+            was_pending = self._resolve(decision.owner, answer.request, answer)
             emit_decision(
                 self.node.events,
                 decision,
@@ -172,152 +174,157 @@
                 self.follower.version,
                 self.targets.version,
             )
-            if isinstance(answer, Placed) and not settled:
-                # Its gateway no longer waits; the slot is free again.
+            if isinstance(answer, Placed) and not was_pending:
+                # The gateway no longer waits for the placement; frees its slot.
                 self.dispatcher.abandon(answer.request, now_s)
 
     # Gateways
 
-    def _handle_attach(self, peer: ProcessId, ask: AttachAsk, now_s: float) -> Attached:
-        seen = self._gateways.find(peer)
-        is_known = seen is not None and seen.incarnation == ask.incarnation
-        if is_known and seen is not None and ask.attachment < seen.attachment:
-            # Sent before a link was lost, and delivered after the gateway had gone on.
-            return self._answer_attach(ask, now_s)
-        if seen is not None and seen.incarnation != ask.incarnation:
-            self._drop(peer, "restarted", now_s)
-        if seen is not None and seen.is_attached and not ask.is_attached:
-            self._drop(peer, "asks another scheduler", now_s)
-        if not ask.is_attached:
-            self._release_limits(peer)
-        self._gateways.record_heartbeat(peer, ask, now_s)
+    def _handle_attach(self, peer: ProcessId, heartbeat: AttachAsk, now_s: float) -> Attached:
+        state = self._gateways.find(peer)
+        is_known = state is not None and state.incarnation == heartbeat.incarnation
+        if is_known and state is not None and heartbeat.attachment < state.attachment:
+            # A delayed heartbeat from before the gateway last changed its scheduler.
+            return self._make_attach_reply(heartbeat, now_s)
+        if state is not None and state.incarnation != heartbeat.incarnation:
+            self._detach_gateway(peer, "restarted", now_s)
+        if state is not None and state.is_attached and not heartbeat.is_attached:
+            self._detach_gateway(peer, "attached to another scheduler", now_s)
+        if not heartbeat.is_attached:
+            self._release_usage(peer)
+        self._gateways.record_heartbeat(peer, heartbeat, now_s)
         is_repeated = (
-            is_known and seen is not None and seen.is_attached and seen.attachment == ask.attachment
+            is_known
+            and state is not None
+            and state.is_attached
+            and state.attachment == heartbeat.attachment
         )
-        if ask.is_first and not is_repeated:
-            self._take_over(peer, ask, now_s)
-        self._share()
-        return self._answer_attach(ask, now_s)
+        if heartbeat.is_first and not is_repeated:
+            self._import_gateway_state(peer, heartbeat, now_s)
+        self._update_limit_share()
+        return self._make_attach_reply(heartbeat, now_s)
 
-    def _take_over(self, peer: ProcessId, ask: AttachAsk, now_s: float) -> None:
-        """Take in what a gateway that begins to ask this scheduler brings along."""
+    def _import_gateway_state(self, peer: ProcessId, heartbeat: AttachAsk, now_s: float) -> None:
+        """Import the state that a newly attached gateway sends."""
         if self._gateways.count_attached() <= 1:
-            # A standby's list is old; the first gateway to come needs a new one.
-            self._list_wanted.set()
-        self._follow_rollouts(now_s)
-        self.dispatcher.mark_leaving(ask.leaving)
-        self.dispatcher.apply_notices(peer, ask.notices, now_s)
-        for run in ask.running:
-            self.dispatcher.adopt(run, peer, now_s)
-        self._inherit_limits(peer, ask, now_s)
-        self.dispatcher.merge_holds(ask.holds)
-        self.dispatcher.merge_speeds(ask.speeds)
-        self.dispatcher.crashes.merge(ask.crashes, now_s)
+            # A standby reads its list rarely; the first gateway needs a current one.
+            self._list_requested.set()
+        self._update_rollouts(now_s)
+        self.dispatcher.mark_leaving(heartbeat.leaving)
+        self.dispatcher.apply_notices(peer, heartbeat.notices, now_s)
+        for work in heartbeat.running:
+            self.dispatcher.adopt(work, peer, now_s)
+        self._import_usage(peer, heartbeat, now_s)
+        self.dispatcher.merge_holds(heartbeat.holds)
+        self.dispatcher.merge_speeds(heartbeat.speeds)
+        self.dispatcher.crashes.merge(heartbeat.crashes, now_s)
         self.node.events.emit(
             "gateway_attached",
             peer=peer,
-            running=len(ask.running),
-            speeds=len(ask.speeds),
-            limits=len(ask.levels),
-            crashers=len(ask.crashes),
-            notices=len(ask.notices),
-            fullest=max((sum(level.taken) / _THOUSANDTHS for level in ask.levels), default=0.0),
+            running=len(heartbeat.running),
+            speeds=len(heartbeat.speeds),
+            limits=len(heartbeat.levels),
+            crashers=len(heartbeat.crashes),
+            notices=len(heartbeat.notices),
+            fullest=max(
+                (sum(level.taken) / _MILLI_PER_UNIT for level in heartbeat.levels), default=0.0
+            ),
             gateways=self._gateways.gateway_count,
         )
 
-    def _inherit_limits(self, peer: ProcessId, ask: AttachAsk, now_s: float) -> None:
-        """Take in a gateway's part of the limits, with what was taken of it elsewhere.
+    def _import_usage(self, peer: ProcessId, heartbeat: AttachAsk, now_s: float) -> None:
+        """Import a gateway's usage of the limits at its previous scheduler.
 
-        A gateway that has just started brings nothing; what was taken through its earlier
-        life still counts.
+        A gateway that has just started sends none; usage by its previous incarnation remains.
         """
-        if not ask.levels:
+        if not heartbeat.levels:
             return
-        self._release_limits(peer)
-        portion = ask.part or 1.0 / self._gateways.gateway_count
-        for level in ask.levels:
-            self.quotas.import_usage(level.workspace, level.taken, portion, now_s)
+        self._release_usage(peer)
+        share = heartbeat.part or 1.0 / self._gateways.gateway_count
+        for level in heartbeat.levels:
+            self.quotas.import_usage(level.workspace, level.taken, share, now_s)
         self._gateways.mark_usage_counted(peer)
 
-    def _release_limits(self, peer: ProcessId) -> None:
-        """Let what was taken of a gateway's part go with it."""
+    def _release_usage(self, peer: ProcessId) -> None:
+        """Subtract the usage of the limits that a leaving gateway takes along."""
         share = self._gateways.release_usage(peer)
         if share:
             self.quotas.release_share(share)
 
-    def _answer_attach(self, ask: AttachAsk, now_s: float) -> Attached:
-        # A gateway takes the list from the scheduler that it asks, or from any while it
-        # decides alone. A standby's list may be older and would be dropped: 1.7 MB/s in vain
-        # at each standby, with 95 gateways and 1,001 targets.
-        is_taken = self._has_list and (ask.is_attached or not ask.asks)
-        told = (
-            self.targets.make_update(ask.targets_version, now_s) if is_taken else TargetListUpdate()
+    def _make_attach_reply(self, heartbeat: AttachAsk, now_s: float) -> Attached:
+        # A gateway uses the list of its own scheduler, or of any while it decides locally.
+        # It ignores a standby's list, so that sending it would waste bandwidth.
+        is_list_used = self._has_list and (heartbeat.is_attached or not heartbeat.asks)
+        list_update = (
+            self.targets.make_update(heartbeat.targets_version, now_s) if is_list_used else TargetListUpdate()
         )
         crashes = self.dispatcher.crashes
-        has_crashes = ask.is_attached and ask.crashes_version != crashes.version
-        most_asked = self._gateways.find_most_used_scheduler()
+        sends_crashes = heartbeat.is_attached and heartbeat.crashes_version != crashes.version
+        most_used = self._gateways.find_most_used_scheduler()
         return Attached(
             incarnation=self.node.incarnation,
-            period_s=max(_MIN_PERIOD_S, _PERIOD_PER_GATEWAY_S * len(self._gateways)),
+            period_s=max(
+                _MIN_HEARTBEAT_PERIOD_S, _HEARTBEAT_PERIOD_PER_GATEWAY_S * len(self._gateways)
+            ),
             version=self.follower.version,
             gateways=self._gateways.gateway_count,
             attached=self._gateways.count_attached(),
             targets_version=self.targets.version,
-            targets=told.targets,
-            has_targets=told.has_targets,
-            targets_base=told.base,
-            gone=told.removed,
+            targets=list_update.targets,
+            has_targets=list_update.has_targets,
+            targets_base=list_update.base,
+            gone=list_update.removed,
             is_ready=self.is_ready,
-            ready_s=self._measure_ready(now_s),
-            most_asked=most_asked.scheduler,
-            most_asked_by=most_asked.gateways,
-            levels=self._list_levels(now_s) if ask.is_attached else [],
-            holds=self.dispatcher.list_holds() if ask.is_attached else [],
-            crashes=crashes.list_histories(now_s) if has_crashes else [],
+            ready_s=self._get_ready_time_s(now_s),
+            most_asked=most_used.scheduler,
+            most_asked_by=most_used.gateways,
+            levels=self._list_levels(now_s) if heartbeat.is_attached else [],
+            holds=self.dispatcher.list_holds() if heartbeat.is_attached else [],
+            crashes=crashes.list_histories(now_s) if sends_crashes else [],
             crashes_version=crashes.version,
         )
 
-    def _measure_ready(self, now_s: float) -> float:
-        """Return for how long this process has been able to serve, in seconds."""
+    def _get_ready_time_s(self, now_s: float) -> float:
+        """Return the seconds since this process became ready, 0 if it is not ready."""
         if not self.is_ready:
             self._ready_since_s = now_s
         return now_s - self._ready_since_s
 
     def _list_levels(self, now_s: float) -> list[Level]:
-        """Return how full the limits are, summed up anew for a few heartbeats together."""
-        made_s, levels = self._levels
-        if now_s - made_s > _LEVELS_S:
-            held = self.quotas.export_usage(now_s)
-            levels = [Level(name, parts) for name, parts in held.items()]
-            self._levels = (now_s, levels)
+        """Return the usage of the limits, cached across heartbeats."""
+        computed_s, levels = self._cached_levels
+        if now_s - computed_s > _LEVELS_TTL_S:
+            usage = self.quotas.export_usage(now_s)
+            levels = [Level(workspace, taken) for workspace, taken in usage.items()]
+            self._cached_levels = (now_s, levels)
         return levels
 
-    def _drop(self, gateway: ProcessId, reason: str, now_s: float) -> None:
+    def _detach_gateway(self, gateway: ProcessId, reason: str, now_s: float) -> None:
         self.node.events.emit("gateway_detached", peer=gateway, reason=reason)
         self.dispatcher.drop_owner(gateway, now_s)
         for owner, request in [key for key in self._pending if key[0] == gateway]:
-            self._settle(owner, request, None)
+            self._resolve(owner, request, None)
 
-    def _share(self) -> None:
-        """Hold the share of limits that belongs to the gateways served here."""
+    def _update_limit_share(self) -> None:
+        """Apply the share of the limits for the gateways attached here."""
         share = self._gateways.get_limit_share()
         self.quotas.share = share
         self.retries.share = share
         self.dispatcher.set_rate_limit_share(share, read_clock_s())
 
-    def _drop_silent(self, now_s: float) -> None:
+    def _detach_silent(self, now_s: float) -> None:
         for gateway, silent_s in self._gateways.detach_silent(now_s).items():
-            self._drop(gateway, f"silent for {silent_s:.1f} s", now_s)
-        self._share()
+            self._detach_gateway(gateway, f"silent for {silent_s:.1f} s", now_s)
+        self._update_limit_share()
 
-    # What is known of the site
+    # Configuration and targets
 
-    def _use_table(self, table: RouteTable) -> None:
+    def _update_table(self, table: RouteTable) -> None:
         self.node.metrics.version.set(table.version)
         for workspace in table.configuration.workspaces:
             limit = (workspace.tokens_per_s, workspace.burst_tokens)
-            if self._limits.get(workspace.name) != limit:
-                self._limits[workspace.name] = limit
+            if self._logged_limits.get(workspace.name) != limit:
+                self._logged_limits[workspace.name] = limit
                 self.node.events.emit(
                     "limit_in_force",
                     workspace=workspace.name,
@@ -326,15 +333,14 @@
                     version=table.version,
                 )
         now_s = read_clock_s()
-        # A scheduler is ready once it has a configuration and a list. The rollout book came
-        # with the former; without it all versions of the list would be let in.
-        self._follow_rollouts(now_s)
+        # Rollouts first: without them, all versions in the target list would be admitted.
+        self._update_rollouts(now_s)
         self.dispatcher.update_table(table, now_s)
 
-    def _follow_rollouts(self, now_s: float) -> None:
+    def _update_rollouts(self, now_s: float) -> None:
         self.dispatcher.update_rollouts(self.follower.rollouts.make_view(now_s, may_sample=True))
 
-    async def _run_list(self) -> None:
+    async def _run_list_reads(self) -> None:
         while True:
             try:
                 if await self.targets.read():
@@ -344,9 +350,9 @@
                         version=self.targets.version,
                     )
                     now_s = read_clock_s()
-                    self._follow_rollouts(now_s)
+                    self._update_rollouts(now_s)
                     self.dispatcher.update_targets(self.targets.targets, now_s)
-                    self._deliver()
+                    self._deliver_decisions()
                 self.targets.emit_invalid_entries(self.node.events)
                 self._has_list = True
                 self.rollouts.report_versions(self.targets.targets)
@@ -354,34 +360,37 @@
                 age_s = self.targets.age_s
                 self.node.events.emit("targets_unread", detail=str(error), age_s=age_s)
             is_busy = self._gateways.count_attached() > 0 or not self._has_list
-            period_s = _LIST_S if is_busy else _STANDBY_LIST_S
-            # Running out of time is how the pause usually ends.
+            period_s = _LIST_PERIOD_S if is_busy else _STANDBY_LIST_PERIOD_S
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(period_s * (0.9 + 0.2 * self.node.random.random())):
-                    await self._list_wanted.wait()
-            self._list_wanted.clear()
+                    await self._list_requested.wait()
+            self._list_requested.clear()
 
     async def _run_ticks(self) -> None:
         last_s = read_clock_s()
         while True:
-            await asyncio.sleep(_TICK_S if self._gateways.count_attached() else _STANDBY_TICK_S)
+            await asyncio.sleep(
+                _TICK_PERIOD_S if self._gateways.count_attached() else _STANDBY_TICK_PERIOD_S
+            )
             now_s = read_clock_s()
             if now_s - last_s > GATEWAY_TIMEOUT_S:
-                # This process stood still, so that the gateways' silence is its own.
+                # This process was stalled and could not receive heartbeats.
                 self._gateways.reset_silence(now_s)
             last_s = now_s
-            self._drop_silent(now_s)
-            self._follow_rollouts(now_s)
+            self._detach_silent(now_s)
+            self._update_rollouts(now_s)
             self.dispatcher.tick(now_s)
             self._load_report.update(self.dispatcher, now_s)
-            self._note_tick(read_clock_s() - now_s, now_s)
-            self._deliver()
+            self._log_slow_tick(read_clock_s() - now_s, now_s)
+            self._deliver_decisions()
 
-    def _note_tick(self, took_s: float, now_s: float) -> None:
-        """Log a tick that held up the decisions, once a second at most."""
-        if took_s < _SLOW_TICK_S or now_s - self._slow_tick_s < _SLOW_TICK_EVERY_S:
+    def _log_slow_tick(self, duration_s: float, now_s: float) -> None:
+        """Log a slow tick, at most once per log period."""
+        if duration_s < _SLOW_TICK_S or now_s - self._slow_tick_logged_s < _SLOW_TICK_LOG_PERIOD_S:
             return
-        self._slow_tick_s = now_s
+        self._slow_tick_logged_s = now_s
         self.node.events.emit(
-            "tick_slow", took_ms=took_s * _THOUSANDTHS, waiting=self.dispatcher.count_waiting()
+            "tick_slow",
+            took_ms=duration_s * _MILLI_PER_UNIT,
+            waiting=self.dispatcher.count_waiting(),
         )
--- a/troutstand/tests/steps/limitshandover.py
+++ b/troutstand/tests/steps/limitshandover.py
@@ -124,7 +124,7 @@
         context.clock.now_s += 0.5
         for part in kept:
             _beat(context, context.scheduler, part, "here", False)
-        context.scheduler._drop_silent(context.clock.now_s)
+        context.scheduler._detach_silent(context.clock.now_s)
     _attach_all(context, context.scheduler, half)
 
 
@@ -142,7 +142,7 @@
         context.clock.now_s += 1.0
         for part in context.parts[:count]:
             context.told.append(_beat(context, context.scheduler, part, "here", False))
-        context.scheduler._drop_silent(context.clock.now_s)
+        context.scheduler._detach_silent(context.clock.now_s)
 
 
 def _read_taken(context: Context) -> float:
