--- a/troutstand/routing/keeper.py
+++ b/troutstand/routing/keeper.py
@@ -1,4 +1,4 @@
-"""Run a keeper of a routed site: durable configuration, and the directory of processes."""
+"""Run a keeper, which stores the configuration and rollouts and tracks the processes."""
 
 from __future__ import annotations
 
@@ -58,23 +58,23 @@
     from troutstand.generated.routing import RoutingSettings
     from troutstand.routing.dialect import Dialect
 
-_CONTACT_S = 0.3
-_ASK_S = 0.6
-_REGISTER_S = 2.5
-_LINE_S = 2.5
-_HELD_UP_S = 1.0
-# A voter counts as heard for so long, in seconds: four of the pauses between contacts.
-_BACKED_S = 1.2
+_CONTACT_PERIOD_S = 0.3
+_CONTACT_TIMEOUT_S = 0.6
+_REGISTER_TIMEOUT_S = 2.5
+_LINE_TIMEOUT_S = 2.5
+_STALL_S = 1.0
+# Four contact periods.
+_VOTER_CONTACT_MAX_AGE_S = 1.2
 _SNAPSHOT_BYTES = 8 << 20
 _DISK_ID_BYTES = 12
 _SHARED_ROLES = (RoutingRole.keeper.value, RoutingRole.scheduler.value)
 
 
-def open_disk(settings: RoutingSettings, process: str) -> tuple[StoredIdentity, Storage]:
-    """Open the data folder; format it where it is empty.
+def open_data_folder(settings: RoutingSettings, process: str) -> tuple[StoredIdentity, Storage]:
+    """Open the data folder; format it if it is empty.
 
-    Only at the site's first start do the seeds name the first set of voters;
-    any other empty disk begins without a vote.
+    The seeds become the first voters only at the site's first start. On any other empty
+    disk, the keeper starts without a vote.
     """
     folder = Path(settings.data_folder)
     folder.mkdir(parents=True, exist_ok=True)
@@ -91,21 +91,21 @@
     disk_id = secrets.token_hex(_DISK_ID_BYTES)
     if settings.first_start and process in seeds:
         disk_id = INITIAL_DISK_ID
-        first = StoredKeepers(make_initial_set(list(seeds)))
-        storage.append([first])
-        storage.loaded.append(first)
+        initial = StoredKeepers(make_initial_set(list(seeds)))
+        storage.append([initial])
+        storage.loaded.append(initial)
     identity = StoredIdentity(settings.site, process, disk_id)
     format_folder(folder, identity)
     return identity, storage
 
 
 class RoutingKeeper:
-    """Serve one keeper's durable state to a routed site."""
+    """Serve the durable state of one keeper to a routed site."""
 
     def __init__(self, settings: RoutingSettings, dialect: Dialect) -> None:
         self.node = RoutingNode(settings)
         self.dialect = dialect
-        identity, self.storage = open_disk(settings, self.node.process)
+        identity, self.storage = open_data_folder(settings, self.node.process)
         self.acceptor = Acceptor(identity)
         for record in self.storage.loaded:
             self.acceptor.load_record(record)
@@ -116,25 +116,25 @@
             self.node.process,
             self.node.incarnation,
             [],
-            _REGISTER_S,
+            _REGISTER_TIMEOUT_S,
             self.node.random.getrandbits(32),
         )
         self.registers.learn_keepers(self.acceptor.keepers)
         self.line = self._make_line(Line.configuration)
         self.rollouts = RolloutStore(self._make_line(Line.rollouts), self.node.events)
         self.replacement = KeeperReplacement(self)
-        self._compressed = (0, b"")
-        # The peers whose last content was broken.
-        self._unreadable: set[ProcessId] = set()
+        self._compressed_configuration = (0, b"")
+        # Peers whose last configuration could not be decompressed.
+        self._corrupt_peers: set[ProcessId] = set()
         self._control = ControlServer(self.line, self.rollouts, dialect, self.node.events)
 
     def _make_line(self, line: Line) -> LineClient:
         return LineClient(
             self.ask_keeper,
             self.registers,
-            self.learn,
+            self.install_and_announce,
             lambda: self.acceptor.decided[line],
-            _LINE_S,
+            _LINE_TIMEOUT_S,
             line,
         )
 
@@ -142,7 +142,7 @@
         return self.acceptor.collect_snapshot(time.time(), 0.0)
 
     async def start(self) -> None:
-        """Open the links and the operators' address, and keep in touch."""
+        """Open the links and the control address, and start the background tasks."""
         self.node.start_event_log()
         member = self.acceptor.find_member()
         self.node.events.emit(
@@ -161,7 +161,7 @@
             await self._control.start(parse_address(self.node.settings.control))
 
     async def stop(self) -> None:
-        """Close everything."""
+        """Close the control address, the links and the storage."""
         await self._control.stop()
         await self.node.close()
         self.storage.close()
@@ -169,7 +169,7 @@
     # Messages
 
     async def ask_keeper(self, process: str, message: PeerMessage, timeout_s: float) -> PeerMessage:
-        """Ask a keeper, which may be this one."""
+        """Send a request to a keeper, possibly this one, and return its reply."""
         if process != self.node.process:
             return await self.node.ask(process, message, timeout_s)
         return await ask_oneself(self.handle, self.node.process, message)
@@ -177,149 +177,154 @@
     def handle(
         self, peer: ProcessId, message: PeerMessage
     ) -> PeerMessage | Awaitable[PeerMessage | None] | None:
-        """Answer a message of another process."""
+        """Handle a message from another process."""
         match message:
             case Prepare() | Accept():
                 return self._handle_register(message)
             case NewestAsk():
-                return self._describe_newest(message)
+                return self._report_newest(message)
             case ContactAsk():
                 return self._handle_contact(message)
             case ConfigurationAsk(line):
-                held = self.acceptor.decided[line]
-                return Learned(held.version, held.content, held.line)
+                decided = self.acceptor.decided[line]
+                return Learned(decided.version, decided.content, decided.line)
             case Learned(version, content, line):
-                return self._learn_and_acknowledge(StoredConfiguration(version, content, line))
+                return self._install_and_acknowledge(StoredConfiguration(version, content, line))
             case RolloutAdvance():
-                return self._answer_rollout(self.rollouts.advance(message))
+                return self._reply_rollouts(self.rollouts.advance(message))
             case VersionsSeen():
-                return self._answer_rollout(self.rollouts.record_versions(message))
+                return self._reply_rollouts(self.rollouts.record_versions(message))
             case KeepersAsk():
                 return self.acceptor.report_keepers()
             case KeepersInstall(keepers):
-                return self._install(keepers)
+                return self._install_keepers(keepers)
             case CopyAsk():
                 if self.journal.is_failed:
-                    return Refused(int(ResultCode.STORAGE_FAILED), "its disk refuses writes")
+                    return Refused(int(ResultCode.STORAGE_FAILED), "writes to the disk fail")
                 return self.acceptor.copy_page(message)
             case _:
-                return Refused(int(ResultCode.LINK_MALFORMED), "not for a keeper")
+                return Refused(
+                    int(ResultCode.LINK_MALFORMED), "message type not handled by a keeper"
+                )
 
     def _handle_register(self, message: Prepare | Accept) -> PeerMessage | Awaitable[PeerMessage]:
         if self.journal.is_failed:
-            return Refused(int(ResultCode.STORAGE_FAILED), "its disk refuses writes")
-        handled = self.acceptor.handle(message, 0.0)
-        if isinstance(handled.reply, Refused):
-            return handled.reply
-        return self._reply_synced(handled.reply, handled.records)
-
-    async def _reply_synced(self, reply: PeerMessage, records: list[StoredRecord]) -> PeerMessage:
-        # Also a reply without records of its own waits for those before it.
+            return Refused(int(ResultCode.STORAGE_FAILED), "writes to the disk fail")
+        result = self.acceptor.handle(message, 0.0)
+        if isinstance(result.reply, Refused):
+            return result.reply
+        return self._reply_after_sync(result.reply, result.records)
+
+    async def _reply_after_sync(
+        self, reply: PeerMessage, records: list[StoredRecord]
+    ) -> PeerMessage:
+        # A reply without records also waits, since it may depend on earlier unsynced ones.
         await self.journal.write(records)
         return reply
 
-    def _describe_newest(self, ask: NewestAsk) -> PeerMessage:
+    def _report_newest(self, ask: NewestAsk) -> PeerMessage:
         if self.journal.is_failed:
-            return Refused(int(ResultCode.STORAGE_FAILED), "its disk refuses writes")
+            return Refused(int(ResultCode.STORAGE_FAILED), "writes to the disk fail")
         return self.acceptor.report_newest(ask)
 
-    async def _answer_rollout(self, change: Awaitable[RolloutsTold]) -> PeerMessage:
+    async def _reply_rollouts(self, change: Awaitable[RolloutsTold]) -> PeerMessage:
         try:
             return await change
         except TroutstandError as error:
             self.node.events.emit("rollout_unclear", code=error.code, detail=error.detail)
             return Refused(int(error.code), error.detail)
 
-    async def _install(self, keepers: object) -> PeerMessage:
+    async def _install_keepers(self, keepers: object) -> PeerMessage:
         await self.replacement.install(keepers)  # type: ignore[arg-type]
         return Acknowledged()
 
     # Decided contents
 
-    async def learn(self, record: StoredConfiguration) -> None:
-        """Keep the decided content of a line and tell the other keepers."""
-        if not await self._keep(record):
+    async def install_and_announce(self, record: StoredConfiguration) -> None:
+        """Install the decided content of a line and send it to the other keepers."""
+        if not await self._install_decided(record):
             return
         for process in self.node.contacts.list_by_role(RoutingRole.keeper.value):
             if process != self.node.process:
                 self.node.send(process, Learned(record.version, record.content, record.line))
 
-    async def _keep(self, record: StoredConfiguration) -> bool:
+    async def _install_decided(self, record: StoredConfiguration) -> bool:
         records = self.acceptor.install_decided(record)
         if not records:
             return False
         self.node.events.emit(f"{record.line.value}_learned", version=record.version)
-        # A majority holds it already; this copy need not be waited for.
+        # Not awaited, since a majority has already stored the content.
         self.journal.write(records)
         return True
 
-    async def _learn_and_acknowledge(self, record: StoredConfiguration) -> PeerMessage:
-        await self._keep(record)
+    async def _install_and_acknowledge(self, record: StoredConfiguration) -> PeerMessage:
+        await self._install_decided(record)
         return Acknowledged()
 
     # Contacts
 
-    def _describe(self) -> Contact:
+    def _make_contact(self) -> Contact:
         version = self.acceptor.configuration.version
         return self.node.make_contact(version, self.acceptor.identity.disk_id, self.acceptor.epoch)
 
     def _handle_contact(self, ask: ContactAsk) -> ContactReply:
-        self._hear(ask.contact, ask.known)
-        held = self.acceptor.configuration
-        is_behind = ask.contact.version < held.version
+        self._update_contacts(ask.contact, ask.known)
+        current = self.acceptor.configuration
+        is_behind = ask.contact.version < current.version
         rollouts = self.acceptor.rollouts
         now_s = read_clock_s()
         digest = self.node.contacts.digest(_SHARED_ROLES)
-        # Other keepers need the ages; the rest only whom there is.
-        is_known = digest == ask.known_digest
+        # Keepers send no digest, since they need the current ages of the contacts.
+        is_unchanged = digest == ask.known_digest
         return ContactReply(
-            contact=self._describe(),
-            known=[] if is_known else self.node.contacts.export(_SHARED_ROLES, now_s),
+            contact=self._make_contact(),
+            known=[] if is_unchanged else self.node.contacts.export(_SHARED_ROLES, now_s),
             known_digest=digest,
-            version=held.version if is_behind else 0,
-            content=self._compress_held() if is_behind else b"",
+            version=current.version if is_behind else 0,
+            content=self._compress_configuration() if is_behind else b"",
             rollouts_version=rollouts.version,
             rollouts=decode_book(rollouts) if ask.rollouts_version < rollouts.version else None,
-            is_backed=self._is_backed(now_s),
+            is_backed=self._has_recent_majority(now_s),
         )
 
-    def _is_backed(self, now_s: float) -> bool:
-        """Tell whether a majority of voters was heard lately.
+    def _has_recent_majority(self, now_s: float) -> bool:
+        """Return whether a majority of voters, including this keeper, had recent contact.
 
-        Any later decision is known to one of them, and came with its contact.
+        Any earlier decision is known to at least one of them, which sent it with its contact.
         """
         voters = list_voters(self.acceptor.keepers)
-        heard = [
+        recent = [
             voter
             for voter in voters
-            if voter == self.node.process or self.node.contacts.get_age_s(voter, now_s) < _BACKED_S
+            if voter == self.node.process
+            or self.node.contacts.get_age_s(voter, now_s) < _VOTER_CONTACT_MAX_AGE_S
         ]
-        return len(heard) > len(voters) // 2
+        return len(recent) > len(voters) // 2
 
-    def _compress_held(self) -> bytes:
-        """Compress the configuration once a version, however many processes ask."""
-        held = self.acceptor.configuration
-        if self._compressed[0] != held.version:
-            self._compressed = (held.version, compress(held.content))
-        return self._compressed[1]
+    def _compress_configuration(self) -> bytes:
+        """Return the compressed configuration, cached by version."""
+        current = self.acceptor.configuration
+        if self._compressed_configuration[0] != current.version:
+            self._compressed_configuration = (current.version, compress(current.content))
+        return self._compressed_configuration[1]
 
-    def _hear(self, contact: Contact, known: list[Contact]) -> None:
+    def _update_contacts(self, contact: Contact, known: list[Contact]) -> None:
         now_s = read_clock_s()
-        for heard in (contact, *known):
-            if heard.process != self.node.process and self.node.contacts.update(heard, now_s):
-                self.node.events.emit("contact_found", peer=heard.process, host=heard.host)
+        for peer in (contact, *known):
+            if peer.process != self.node.process and self.node.contacts.update(peer, now_s):
+                self.node.events.emit("contact_found", peer=peer.process, host=peer.host)
 
     async def _run_contacts(self) -> None:
         last_s = read_clock_s()
         while True:
             now_s = read_clock_s()
-            if now_s - last_s > _HELD_UP_S:
+            if now_s - last_s > _STALL_S:
                 self.replacement.reset_silence()
             last_s = now_s
             self.node.expire_contacts(now_s)
             for process in self._list_other_keepers():
-                self.node.spawn(self._contact(process), f"contact {process}")
-            await asyncio.sleep(_CONTACT_S * (0.75 + 0.5 * self.node.random.random()))
+                self.node.spawn(self._exchange_contacts(process), f"contact {process}")
+            await asyncio.sleep(_CONTACT_PERIOD_S * (0.75 + 0.5 * self.node.random.random()))
 
     def _list_other_keepers(self) -> set[ProcessId]:
         role = RoutingRole.keeper
@@ -330,51 +335,53 @@
         known = set(self.node.contacts.list_by_role(role.value))
         return (seeds | known) - {self.node.process}
 
-    async def _contact(self, process: ProcessId) -> None:
+    async def _exchange_contacts(self, process: ProcessId) -> None:
         now_s = read_clock_s()
         ask = ContactAsk(
-            self._describe(),
+            self._make_contact(),
             self.node.contacts.export(_SHARED_ROLES, now_s),
             rollouts_version=self.acceptor.rollouts.version,
         )
         try:
-            reply = await self.node.ask(process, ask, _ASK_S)
+            reply = await self.node.ask(process, ask, _CONTACT_TIMEOUT_S)
         except TroutstandError:
-            # Its link tells of a lost peer, and contact_forgotten of a silent one.
+            # The link logs a lost peer, and contact_forgotten a silent one.
             return
         if not isinstance(reply, ContactReply):
             return
-        content = self._expand(process, reply.content)
+        content = self._decompress_content(process, reply.content)
         if content is None:
             return
-        self._hear(reply.contact, reply.known)
+        self._update_contacts(reply.contact, reply.known)
         if reply.version:
-            await self._keep(StoredConfiguration(reply.version, content))
+            await self._install_decided(StoredConfiguration(reply.version, content))
         if reply.rollouts is not None:
             book = encode_record(reply.rollouts)
-            await self._keep(StoredConfiguration(reply.rollouts_version, book, Line.rollouts))
+            await self._install_decided(
+                StoredConfiguration(reply.rollouts_version, book, Line.rollouts)
+            )
         if reply.contact.epoch > self.acceptor.epoch:
             await self.replacement.fetch(process)
 
-    def _expand(self, process: ProcessId, data: bytes) -> bytes | None:
-        """Return a contact's content, or None where it is broken, which is logged once."""
+    def _decompress_content(self, process: ProcessId, data: bytes) -> bytes | None:
+        """Return the decompressed content, or None if it is corrupt, which is logged once."""
         try:
             content = decompress(data)
         except TroutstandError as error:
-            if process not in self._unreadable:
-                self._unreadable.add(process)
+            if process not in self._corrupt_peers:
+                self._corrupt_peers.add(process)
                 self.node.events.emit(
                     "contact_unreadable", code=error.code, peer=process, detail=error.detail
                 )
             return None
-        self._unreadable.discard(process)
+        self._corrupt_peers.discard(process)
         return content
 
     # The keeper set
 
     async def _run_replacement(self) -> None:
         while True:
-            await asyncio.sleep(_CONTACT_S * (0.75 + 0.5 * self.node.random.random()))
+            await asyncio.sleep(_CONTACT_PERIOD_S * (0.75 + 0.5 * self.node.random.random()))
             try:
                 await self.journal.recover()
                 if not self.journal.is_failed:
@@ -387,7 +394,7 @@
                 self.node.events.emit("keeper_set_waits", code=error.code, detail=error.detail)
 
     async def become_spare(self) -> None:
-        """Begin again as a new disk, once the keeper set no longer names this one."""
+        """Restart with a new disk id after this disk was removed from the keeper set."""
         if not self.acceptor.registers and self.acceptor.identity.disk_id != INITIAL_DISK_ID:
             return
         identity = StoredIdentity(
