--- a/troutstand/routing/scheduler.py
+++ b/troutstand/routing/scheduler.py
@@ -256,7 +256,9 @@
         # It ignores a standby's list, so that sending it would waste bandwidth.
         is_list_used = self._has_list and (heartbeat.is_attached or not heartbeat.asks)
         list_update = (
-            self.targets.make_update(heartbeat.targets_version, now_s) if is_list_used else TargetListUpdate()
+            self.targets.make_update(heartbeat.targets_version, now_s)
+            if is_list_used
+            else TargetListUpdate()
         )
         crashes = self.dispatcher.crashes
         sends_crashes = heartbeat.is_attached and heartbeat.crashes_version != crashes.version
