--- a/troutstand/routing/follower.py
+++ b/troutstand/routing/follower.py
@@ -1,4 +1,4 @@
-"""Follow the configuration and the directory of processes from the keepers."""
+"""Poll the keepers for the configuration, the rollouts and the contacts of processes."""
 
 from __future__ import annotations
 
@@ -22,21 +22,20 @@
     from troutstand.core.ids import ProcessId
     from troutstand.routing.dialect import Dialect
 
-_PERIOD_S = 0.3
-_ASK_S = 0.4
-# An answer with a large configuration may take longer on a slow link. Asking the
-# next keeper at once would only send it once more, so that patience doubles.
-_MOST_ASK_S = 1.6
-_LOST_AFTER_S = 1.5
+_POLL_PERIOD_S = 0.3
+_MIN_TIMEOUT_S = 0.4
+# The timeout doubles up to this, since a large configuration takes long on a slow link.
+_MAX_TIMEOUT_S = 1.6
+_KEEPERS_TIMEOUT_S = 1.5
 
 
 class Follower:
-    """Ask the keepers in turn, one a period.
+    """Poll the keepers in turn, one per period.
 
     Parameters
     ----------
     on_table
-        Is called with each newer configuration, in the order of versions.
+        Called with each newer configuration, in the order of versions.
     """
 
     def __init__(
@@ -44,46 +43,46 @@
     ) -> None:
         self.table: RouteTable | None = None
         settings = node.settings
-        bound = ExposureLimit(settings.exposure_share, settings.exposure_extra)
-        self.rollouts = RolloutCache(node.events, settings.rollback_s, bound)
+        exposure_limit = ExposureLimit(settings.exposure_share, settings.exposure_extra)
+        self.rollouts = RolloutCache(node.events, settings.rollback_s, exposure_limit)
         self._node = node
         self._dialect = dialect
         self._on_table = on_table
-        self._turn = node.random.randrange(1 << 16)
-        self._answered_s = read_clock_s()
+        self._keeper_index = node.random.randrange(1 << 16)
+        self._last_reply_s = read_clock_s()
         self._is_lost = False
-        self._patience_s = _ASK_S
+        self._timeout_s = _MIN_TIMEOUT_S
         self._unreadable_version = 0
-        self._digest = ""
-        self._listed: list[str] = []
+        self._contacts_digest = ""
+        self._listed_processes: list[str] = []
 
     @property
     def version(self) -> int:
-        """Return the version in force here; 0 before there is one."""
+        """Return the version of the configuration in force, 0 if there is none."""
         return self.table.version if self.table else 0
 
     @property
     def is_fresh(self) -> bool:
-        """Tell whether a keeper answered since the host was last suspended."""
-        return self._answered_s >= self._node.resumed_s
+        """Return whether a keeper has replied since the host last resumed from a suspend."""
+        return self._last_reply_s >= self._node.resumed_s
 
     async def run(self) -> None:
-        """Stay in touch until cancelled."""
+        """Poll until cancelled."""
         while True:
             self._node.expire_contacts(read_clock_s())
-            answered = await self.ask_next_keeper()
-            self._record_contact(answered)
-            pause_s = _PERIOD_S * (0.75 + 0.5 * self._node.random.random())
-            await asyncio.sleep(pause_s if answered else pause_s / 6)
+            has_reply = await self.ask_next_keeper()
+            self._record_contact(has_reply)
+            pause_s = _POLL_PERIOD_S * (0.75 + 0.5 * self._node.random.random())
+            await asyncio.sleep(pause_s if has_reply else pause_s / 6)
 
-    def _record_contact(self, answered: bool) -> None:
+    def _record_contact(self, has_reply: bool) -> None:
         now_s = read_clock_s()
-        if answered:
-            self._answered_s = now_s
+        if has_reply:
+            self._last_reply_s = now_s
             if self._is_lost:
                 self._node.events.emit("keepers_regained", version=self.version)
             self._is_lost = False
-        elif not self._is_lost and now_s - self._answered_s > _LOST_AFTER_S:
+        elif not self._is_lost and now_s - self._last_reply_s > _KEEPERS_TIMEOUT_S:
             self._is_lost = True
             self._node.events.emit("keepers_lost", version=self.version)
 
@@ -96,41 +95,41 @@
         return sorted(self._node.make_peer_id(role, ip) for ip in ips)
 
     async def ask_next_keeper(self) -> bool:
-        """Ask one keeper; tell whether it answered in time."""
+        """Poll the next keeper; return whether it replied in time."""
         keepers = self._list_keepers()
         if not keepers:
             return False
-        self._turn += 1
-        keeper = keepers[self._turn % len(keepers)]
+        self._keeper_index += 1
+        keeper = keepers[self._keeper_index % len(keepers)]
         ask = ContactAsk(
             self._node.make_contact(self.version),
-            known_digest=self._digest,
+            known_digest=self._contacts_digest,
             rollouts_version=self.rollouts.version,
         )
-        asked_s = read_clock_s()
+        sent_s = read_clock_s()
         try:
-            reply = await self._node.ask(keeper, ask, self._patience_s)
+            reply = await self._node.ask(keeper, ask, self._timeout_s)
         except TroutstandError as error:
             if error.code is ResultCode.LINK_TIMEOUT:
-                self._patience_s = min(_MOST_ASK_S, 2 * self._patience_s)
-            # keepers_lost tells of it when no other answers either. A process that only
-            # its silence is known of must not hide the seeds.
-            self._revive_seeds()
+                self._timeout_s = min(_MAX_TIMEOUT_S, 2 * self._timeout_s)
+            # Not logged here; keepers_lost reports that no keeper replies.
+            self._restore_seeds()
             return False
         if not isinstance(reply, ContactReply):
             return False
-        self._patience_s = _ASK_S
-        self._hear(reply.contact, reply.known)
-        self.rollouts.handle_reply(reply, asked_s)
-        if reply.known_digest != self._digest:
-            self._digest = reply.known_digest
-            self._listed = [contact.process for contact in reply.known]
-        self._node.contacts.refresh(self._listed, read_clock_s())
+        self._timeout_s = _MIN_TIMEOUT_S
+        self._update_contacts(reply.contact, reply.known)
+        self.rollouts.handle_reply(reply, sent_s)
+        if reply.known_digest != self._contacts_digest:
+            self._contacts_digest = reply.known_digest
+            self._listed_processes = [contact.process for contact in reply.known]
+        self._node.contacts.refresh(self._listed_processes, read_clock_s())
         if reply.version > self.version:
-            self._use(reply.version, reply.content)
+            self._install_table(reply.version, reply.content)
         return True
 
-    def _revive_seeds(self) -> None:
+    def _restore_seeds(self) -> None:
+        """Add the seeds whose contact is missing, so that they are polled again."""
         now_s = read_clock_s()
         for seed in self._node.settings.seeds:
             process = self._node.make_peer_id(RoutingRole.keeper, parse_address(seed).ip)
@@ -146,14 +145,14 @@
                 )
                 self._node.contacts.update(contact, now_s)
 
-    def _hear(self, contact: Contact, known: list[Contact]) -> None:
+    def _update_contacts(self, contact: Contact, known: list[Contact]) -> None:
         now_s = read_clock_s()
-        for heard in (contact, *known):
-            if heard.process != self._node.process and self._node.contacts.update(heard, now_s):
-                self._node.events.emit("contact_found", peer=heard.process, host=heard.host)
+        for peer in (contact, *known):
+            if peer.process != self._node.process and self._node.contacts.update(peer, now_s):
+                self._node.events.emit("contact_found", peer=peer.process, host=peer.host)
 
-    def _note_unreadable(self, version: int, group: BaseExceptionGroup) -> None:
-        """Log once a version why it cannot be used; every contact brings it again."""
+    def _log_unreadable(self, version: int, group: BaseExceptionGroup) -> None:
+        """Log why a version is invalid, once per version, since every reply repeats it."""
         if version == self._unreadable_version:
             return
         self._unreadable_version = version
@@ -164,11 +163,11 @@
             detail="; ".join(str(error) for error in flatten_group(group)),
         )
 
-    def _use(self, version: int, content: bytes) -> None:
+    def _install_table(self, version: int, content: bytes) -> None:
         try:
             table = RouteTable(self._dialect.decode_configuration(decompress(content)))
         except* TroutstandError as group:
-            self._note_unreadable(version, group)
+            self._log_unreadable(version, group)
         else:
             self._node.events.emit(
                 "configuration_in_force",
