--- a/troutstand/routing/keeperreplacement.py
+++ b/troutstand/routing/keeperreplacement.py
@@ -1,7 +1,7 @@
-"""Keep the keeper set whole without an operator.
+"""Replace lost keepers automatically.
 
-`core/membership.py` says who takes whose place; the keepers' own registers
-decide each change, so that rivals and late words do no harm.
+`core/membership.py` plans each change. The keepers' registers decide it by consensus, so
+that concurrent proposals and delayed messages are harmless.
 """
 
 from __future__ import annotations
@@ -36,23 +36,23 @@
     from troutstand.core.ids import ProcessId
     from troutstand.routing.keeper import RoutingKeeper
 
-_ASK_S = 0.6
-_COPY_S = 2.0
+_REQUEST_TIMEOUT_S = 0.6
+_COPY_TIMEOUT_S = 2.0
 
 
 class KeeperReplacement:
-    """Follow and change the keeper set from one keeper."""
+    """Maintain the keeper set from one keeper."""
 
     def __init__(self, keeper: RoutingKeeper) -> None:
         self._keeper = keeper
-        self._watching_since_s = read_clock_s()
+        self._observing_since_s = read_clock_s()
 
     def reset_silence(self) -> None:
-        """Note that this process was held up, so that silence proves nothing yet."""
-        self._watching_since_s = read_clock_s()
+        """Restart the observation of the peers, after this process itself was stalled."""
+        self._observing_since_s = read_clock_s()
 
     async def run_step(self) -> None:
-        """Take the next step that the set needs, if it is this keeper's to take."""
+        """Take the next step towards a complete keeper set, if it is up to this keeper."""
         acceptor = self._keeper.acceptor
         if acceptor.keepers is None:
             return
@@ -62,10 +62,10 @@
         elif member.state is MemberState.copying:
             await self._copy_and_join(acceptor.keepers)
         elif self._is_first_voter(acceptor.keepers):
-            await self._change(acceptor.keepers)
+            await self._change_members(acceptor.keepers)
 
     def _is_first_voter(self, keepers: KeeperSet) -> bool:
-        """Tell whether no live voter stands before this one; rivals are harmless but slow."""
+        """Return whether this is the first live voter; concurrent proposals only cost time."""
         now_s = read_clock_s()
         for member in sorted(keepers.members, key=lambda member: member.process):
             if member.process == self._keeper.node.process:
@@ -75,46 +75,46 @@
         return False
 
     def _is_live(self, member: Member, now_s: float) -> bool:
-        """Tell whether a member was heard lately with the disk that the set names."""
+        """Return whether a member had recent contact with the disk in the keeper set."""
         known = self._keeper.node.contacts.find(member.process)
         if known is None or now_s - known.last_heard_s > CONTACT_MAX_AGE_S:
             return False
         return known.contact.disk_id == member.disk_id
 
-    async def _change(self, keepers: KeeperSet) -> None:
+    async def _change_members(self, keepers: KeeperSet) -> None:
         size = 2 * self._keeper.node.settings.disks_lost + 1
         now_s = read_clock_s()
-        book = self._keeper.node.contacts
-        following = plan_change(
-            keepers, self._keeper.node.process, book, now_s, self._watching_since_s, size
+        contacts = self._keeper.node.contacts
+        planned = plan_change(
+            keepers, self._keeper.node.process, contacts, now_s, self._observing_since_s, size
         )
-        if following is not None:
-            await self._decide(following)
+        if planned is not None:
+            await self._decide(planned)
 
-    async def _decide(self, wanted: KeeperSet) -> None:
+    async def _decide(self, proposed: KeeperSet) -> None:
         data = await self._keeper.registers.decide(
-            name_keepers_register(wanted.epoch), encode_record(wanted)
+            name_keepers_register(proposed.epoch), encode_record(proposed)
         )
-        # Another's set may have won this epoch; whichever did is in force.
+        # The decided set of this epoch may be another keeper's proposal.
         decided = decode_record(data, KeeperSet)
         await self.install(decided)
         members = ",".join(f"{m.process}/{m.state.value}" for m in decided.members)
-        is_own = decided == wanted
+        is_own = decided == proposed
         self._keeper.node.events.emit(
             "keeper_set_decided", epoch=decided.epoch, members=members, own=is_own
         )
         names = {m.process for m in decided.members} - {self._keeper.node.process}
-        await asyncio.gather(*(self._tell(name, decided) for name in names))
+        await asyncio.gather(*(self._send_keepers(name, decided) for name in names))
 
-    async def _tell(self, process: str, keepers: KeeperSet) -> None:
+    async def _send_keepers(self, process: str, keepers: KeeperSet) -> None:
         try:
-            await self._keeper.node.ask(process, KeepersInstall(keepers), _ASK_S)
+            await self._keeper.node.ask(process, KeepersInstall(keepers), _REQUEST_TIMEOUT_S)
         except TroutstandError:
-            # It hears of the epoch with the next contact.
+            # The peer learns the epoch with its next contact.
             return
 
     async def install(self, keepers: KeeperSet) -> None:
-        """Make a decided keeper set durable here."""
+        """Store a decided keeper set."""
         records = self._keeper.acceptor.install_keepers(keepers)
         self._keeper.registers.learn_keepers(keepers)
         if records:
@@ -122,11 +122,11 @@
             self._keeper.node.events.emit("keeper_set_installed", epoch=keepers.epoch)
 
     async def fetch(self, process: str) -> None:
-        """Take the newer keeper set that a keeper told of."""
+        """Fetch and install the newer keeper set of another keeper."""
         try:
-            reply = await self._keeper.node.ask(process, KeepersAsk(), _ASK_S)
+            reply = await self._keeper.node.ask(process, KeepersAsk(), _REQUEST_TIMEOUT_S)
         except TroutstandError:
-            # The next contact tells of the newer set again.
+            # Retried after the next contact.
             return
         if isinstance(reply, KeepersReply) and reply.keepers:
             await self.install(reply.keepers)
@@ -135,42 +135,46 @@
         needed = count_copy_quorum(keepers)
         voters = sorted(list_voters(keepers))
         copies = [self._copy_from(voter, keepers.epoch) for voter in voters]
-        wholes = await asyncio.gather(*copies)
-        done = sum(wholes)
-        if done < needed or self._keeper.acceptor.epoch != keepers.epoch:
-            missing = [voter for voter, whole in zip(voters, wholes, strict=True) if not whole]
+        results = await asyncio.gather(*copies)
+        complete_count = sum(results)
+        if complete_count < needed or self._keeper.acceptor.epoch != keepers.epoch:
+            missing = [
+                voter for voter, is_complete in zip(voters, results, strict=True) if not is_complete
+            ]
             self._keeper.node.events.emit(
-                "keeper_copy_waits", have=done, needed=needed, missing=",".join(missing)
+                "keeper_copy_waits", have=complete_count, needed=needed, missing=",".join(missing)
             )
             return
         await self._decide(promote_member(keepers, self._keeper.node.process))
 
     async def _copy_from(self, voter: ProcessId, epoch: int) -> bool:
-        """Copy all of a voter's state; tell whether it came whole and in this epoch."""
+        """Copy the state of a voter; return whether all of it arrived in this epoch."""
         after = ""
         while True:
             try:
-                reply = await self._keeper.node.ask(voter, CopyAsk(epoch, after), _COPY_S)
+                reply = await self._keeper.node.ask(voter, CopyAsk(epoch, after), _COPY_TIMEOUT_S)
             except TroutstandError:
-                # keeper_copy_waits names it.
+                # Logged by keeper_copy_waits.
                 return False
             if isinstance(reply, Refused):
-                await self._learn_refusal(voter, reply)
+                await self._handle_refusal(voter, reply)
             if not isinstance(reply, CopyPage):
                 return False
             acceptor = self._keeper.acceptor
-            records = [out for record in reply.records for out in acceptor.merge_record(record)]
+            records = [
+                merged for record in reply.records for merged in acceptor.merge_record(record)
+            ]
             if records:
                 await self._keeper.journal.write(records)
             if reply.last:
                 return True
             after = reply.next
 
-    async def _learn_refusal(self, voter: ProcessId, refusal: Refused) -> None:
-        """Bring whichever of the two is behind to the newer keeper set."""
+    async def _handle_refusal(self, voter: ProcessId, refusal: Refused) -> None:
+        """Bring the older of the two keeper sets up to date after a refusal."""
         own = self._keeper.acceptor.keepers
         if refusal.keepers is not None and own is not None:
             if refusal.keepers.epoch > own.epoch:
                 await self.install(refusal.keepers)
             elif refusal.keepers.epoch < own.epoch:
-                await self._tell(voter, own)
+                await self._send_keepers(voter, own)
--- a/troutstand/routing/recoveringjournal.py
+++ b/troutstand/routing/recoveringjournal.py
@@ -1,4 +1,4 @@
-"""Keep a routed keeper alive while its disk refuses writes."""
+"""Let a routed keeper recover from failed writes to its disk."""
 
 from __future__ import annotations
 
@@ -17,28 +17,28 @@
 
 
 class RecoveringJournal(Journal):
-    """Write records to the disk, and stop voting while it refuses them.
+    """Write records to the disk, and fail all writes after an error until a snapshot succeeds.
 
-    After a refused write memory is ahead of the disk. Nothing that rests on it
-    may be told until the whole state was written anew.
+    After a failed write, the state in memory is ahead of the disk and must not be
+    acknowledged before a snapshot of it is written.
 
     Parameters
     ----------
-    collect
-        Returns the whole state, to be written where the log cannot be trusted.
+    collect_state
+        Returns the full state as records, for a snapshot.
     """
 
     def __init__(
-        self, storage: Storage, events: EventBus, collect: Callable[[], list[StoredRecord]]
+        self, storage: Storage, events: EventBus, collect_state: Callable[[], list[StoredRecord]]
     ) -> None:
         super().__init__(storage)
         self.is_failed = False
         self._events = events
-        self._collect = collect
+        self._collect_state = collect_state
 
     def _append(self, records: list[StoredRecord]) -> TroutstandError | None:
         if self.is_failed:
-            return TroutstandError(ResultCode.STORAGE_FAILED, "the disk refused an earlier write")
+            return TroutstandError(ResultCode.STORAGE_FAILED, "an earlier write to the disk failed")
         if not records:
             return None
         try:
@@ -50,26 +50,26 @@
         return None
 
     async def recover(self) -> None:
-        """Try to write the whole state anew after a refused write."""
+        """Try to write a snapshot after a failed write."""
         if not self.is_failed:
             return
         try:
             self.write_snapshot()
         except TroutstandError:
-            # disk_failed was logged when it began to refuse; disk_recovered ends it.
+            # Already logged as disk_failed; disk_recovered follows once a snapshot succeeds.
             return
         self.is_failed = False
         self._events.emit("disk_recovered")
 
     def write_snapshot(self) -> None:
-        """Replace the log by the state it leads to.
+        """Replace the log with a snapshot of the state.
 
         Raises
         ------
         TroutstandError
             STORAGE_FAILED.
         """
-        records = self._collect()
+        records = self._collect_state()
         try:
             self._storage.replace(records)
         except OSError as error:
