--- a/benchmarks/restart.py
+++ b/benchmarks/restart.py
@@ -9,7 +9,7 @@
 from benchmarks.report import report
 from troutstand.core.acceptor import Acceptor
 from troutstand.core.codec import encode_record
-from troutstand.daemon.keeper import SNAPSHOT_RECORDS
+from troutstand.daemon.keeper import MAX_LOG_RECORDS
 from troutstand.daemon.storage import Storage, format_folder
 from troutstand.generated.messages import (
     Ballot,
@@ -49,8 +49,8 @@
         for record in records:
             acceptor.load_record(record)
         storage.append(records)
-        if storage.log_records > SNAPSHOT_RECORDS:
-            storage.replace(acceptor.collect_snapshot(time.time(), _RETENTION_S))
+        if storage.log_record_count > MAX_LOG_RECORDS:
+            storage.write_snapshot(acceptor.collect_snapshot(time.time(), _RETENTION_S))
     storage.close()
 
 
--- a/troutstand/control/client.py
+++ b/troutstand/control/client.py
@@ -20,7 +20,7 @@
     TargetsReport,
 )
 from troutstand.core.table import Row, get_row_id
-from troutstand.daemon.refusals import ErrorBody, ErrorEnvelope
+from troutstand.daemon.errorresponse import ErrorBody, ErrorEnvelope
 from troutstand.generated.table import Change, RowKey
 
 if TYPE_CHECKING:
--- a/troutstand/daemon/admin.py
+++ b/troutstand/daemon/admin.py
@@ -26,8 +26,8 @@
     TargetsReport,
 )
 from troutstand.daemon.entry import EntryProcess
+from troutstand.daemon.errorresponse import make_error_response
 from troutstand.daemon.keeper import KeeperProcess
-from troutstand.daemon.refusals import make_refusal
 from troutstand.util.clock import read_clock_s
 from troutstand.util.events import format_event
 
@@ -94,10 +94,10 @@
             return await handler(request)
         except* TroutstandError as group:
             errors = [e for e in flatten_group(group) if isinstance(e, TroutstandError)]
-            refusal = make_refusal(_join_errors(errors))
+            refusal = make_error_response(_join_errors(errors))
         except* web.HTTPException as group:
             error = TroutstandError(ResultCode.NOT_FOUND, str(group.exceptions[0]))
-            refusal = make_refusal(error)
+            refusal = make_error_response(error)
         return refusal
 
     def _check_token(self, request: web.Request) -> None:
@@ -132,10 +132,10 @@
             report.running = process.placement.running_count
             report.waiting = process.placement.waiting_count
         else:
-            report.voting = process.acceptor.is_voting and process.is_checked
+            report.voting = process.acceptor.is_voting and process.is_disk_checked
             report.disk_id = process.acceptor.identity.disk_id
             report.records = process.storage.sequence
-            report.syncs = process.storage.syncs
+            report.syncs = process.storage.sync_count
         return _answer(report)
 
     def _list_hosts(self, version: int) -> list[HostReport]:
@@ -214,7 +214,7 @@
         return _answer(DrainReport(self._node.state.value, open_calls))
 
     async def _form_keepers(self, _: web.Request) -> web.Response:
-        return _describe_keepers(await self._require_keeper().membership.form())
+        return _describe_keepers(await self._require_keeper().membership.make_initial_set())
 
     async def _replace_keeper(self, request: web.Request) -> web.Response:
         call = await _read(request, ReplaceCall)
--- a/troutstand/daemon/callers.py
+++ b/troutstand/daemon/callers.py
@@ -11,9 +11,9 @@
 from troutstand.core.codes import ResultCode
 from troutstand.core.errors import TroutstandError
 from troutstand.daemon.engines import EngineRequests
-from troutstand.daemon.refusals import make_refusal
+from troutstand.daemon.errorresponse import make_error_response
 from troutstand.daemon.requests import read_attempt, read_body, read_engine_request, read_key
-from troutstand.daemon.services import ServiceCall, ServiceCalls
+from troutstand.daemon.servicecalls import ServiceCall, ServiceCallHandler
 from troutstand.generated.messages import ProcessState
 from troutstand.util.listening import abort_response, has_response_started
 
@@ -50,7 +50,7 @@
     def __init__(self, entry: EntryProcess) -> None:
         self._entry = entry
         self._engines = EngineRequests(entry)
-        self._services = ServiceCalls(entry)
+        self._services = ServiceCallHandler(entry)
 
     def make_app(self) -> web.Application:
         """Make the application that listens for callers."""
@@ -95,7 +95,7 @@
             abort_response(request)
         else:
             self._note_refusal(request, error)
-        return make_refusal(error, request.headers.get("Idempotency-Key", "")[:128])
+        return make_error_response(error, request.headers.get("Idempotency-Key", "")[:128])
 
     def _note_refusal(self, request: web.Request, error: TroutstandError) -> None:
         self._entry.events.emit(
@@ -142,7 +142,7 @@
         key, minted = read_key(request)
         call = ServiceCall(
             key=key,
-            minted=minted,
+            is_key_generated=minted,
             caller=caller,
             service=service,
             method=request.method,
--- a/troutstand/daemon/engines.py
+++ b/troutstand/daemon/engines.py
@@ -13,7 +13,7 @@
 from troutstand.core.answerstream import DONE_EVENT, AnswerEvent, frame_event
 from troutstand.core.codes import ResultCode, Run
 from troutstand.core.errors import TroutstandError
-from troutstand.daemon.refusals import KEY_HEADER, make_envelope
+from troutstand.daemon.errorresponse import IDEMPOTENCY_KEY_HEADER, encode_error
 from troutstand.daemon.relay import EngineRelay, assemble_answer
 from troutstand.daemon.tried import MAX_TARGETS
 from troutstand.generated.messages import Finished, Grant, PlacementAsk
@@ -182,7 +182,7 @@
         if not attempt.request.stream:
             events = [event async for batch in relay.read() for event in batch]
             body = assemble_answer(events, attempt.request.is_chat, relay.progress.usage)
-            headers = {KEY_HEADER: attempt.request.key}
+            headers = {IDEMPOTENCY_KEY_HEADER: attempt.request.key}
             return web.Response(body=body, content_type="application/json", headers=headers)
         async for batch in relay.read():
             response = attempt.response or await self._begin(http, attempt)
@@ -197,7 +197,7 @@
         headers = {
             "Content-Type": "text/event-stream",
             "Cache-Control": "no-cache",
-            KEY_HEADER: attempt.request.key,
+            IDEMPOTENCY_KEY_HEADER: attempt.request.key,
         }
         response = web.StreamResponse(headers=headers)
         attempt.response = response
@@ -216,7 +216,7 @@
         response = attempt.response
         if response is None:
             raise error
-        await response.write(frame_event(make_envelope(error)))
+        await response.write(frame_event(encode_error(error)))
         transport = response._req.transport if response._req else None
         if transport:
             transport.abort()
--- a/troutstand/daemon/entry.py
+++ b/troutstand/daemon/entry.py
@@ -15,11 +15,11 @@
 from troutstand.core.trace import SchedulerMessage
 from troutstand.daemon.commands import Commands
 from troutstand.daemon.configuration import Configuration
+from troutstand.daemon.leasedscheduler import LeasedScheduler
 from troutstand.daemon.node import Node
 from troutstand.daemon.placement import Placement
 from troutstand.daemon.registers import RegisterClient
 from troutstand.daemon.requests import Directory
-from troutstand.daemon.scheduling import Scheduling
 from troutstand.daemon.tried import Tried
 from troutstand.generated.messages import (
     Acknowledged,
@@ -87,12 +87,12 @@
         self.running_calls = 0
         self._is_waiting = False
         self._backends: dict[str, Backend] = {}
-        self.scheduling: Scheduling
+        self.scheduling: LeasedScheduler
 
     async def start(self) -> None:
         """Open the links and begin to follow the table."""
         self.session = make_session()
-        self.scheduling = Scheduling(self.node, self.follower, self.placement, self.session)
+        self.scheduling = LeasedScheduler(self.node, self.follower, self.placement, self.session)
         self.node.make_heartbeat = self._make_heartbeat
         await self.node.start(self.handle)
         self.node.spawn(self._beat(), "heartbeat")
@@ -199,7 +199,7 @@
         self.node.hear(heartbeat)
         process = ProcessId(heartbeat.process)
         if process in self.node.peers.domain_entries:
-            self.scheduling.notice_heartbeat()
+            self.scheduling.follow_scheduler()
         if heartbeat.epoch > self.registers.epoch:
             self.node.spawn(self.registers.refresh_keepers(), "refresh keepers")
         is_ready = self.node.state is not ProcessState.starting
--- a/troutstand/daemon/refusals.py
+++ b/troutstand/daemon/errorresponse.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from troutstand.core.errors import TroutstandError
 
-KEY_HEADER = "Idempotency-Key"
+IDEMPOTENCY_KEY_HEADER = "Idempotency-Key"
 _TYPES = {400: "invalid_request_error", 401: "authentication_error", 403: "permission_error"}
 
 
@@ -35,7 +35,7 @@
     error: ErrorBody
 
 
-def make_envelope(error: TroutstandError) -> bytes:
+def encode_error(error: TroutstandError) -> bytes:
     """Encode a refusal."""
     status = describe_code(error.code).http_status
     body = ErrorBody(
@@ -49,11 +49,11 @@
     return msgspec.json.encode(ErrorEnvelope(body))
 
 
-def make_refusal(error: TroutstandError, key: str = "") -> web.Response:
+def make_error_response(error: TroutstandError, key: str = "") -> web.Response:
     """Make the response of a refusal, with when to come back."""
     headers = {"X-Run": error.run.value}
     if key:
-        headers[KEY_HEADER] = key
+        headers[IDEMPOTENCY_KEY_HEADER] = key
     if error.retry_after_s is not None:
         headers["Retry-After"] = str(math.ceil(error.retry_after_s))
     if error.run is Run.UNKNOWN and error.retry_after_s is None:
@@ -61,7 +61,7 @@
         headers["X-Should-Retry"] = "false"
     return web.Response(
         status=describe_code(error.code).http_status,
-        body=make_envelope(error),
+        body=encode_error(error),
         content_type="application/json",
         headers=headers,
     )
--- a/troutstand/daemon/keeper.py
+++ b/troutstand/daemon/keeper.py
@@ -49,7 +49,7 @@
     from troutstand.generated.settings import Settings
 
 # The log is replaced by a snapshot when it holds this many records.
-SNAPSHOT_RECORDS = 20_000
+MAX_LOG_RECORDS = 20_000
 
 
 @dataclass(frozen=True)
@@ -87,7 +87,7 @@
             limits.register_timeout_s,
             self.node.seed,
         )
-        self.registers.learn_keepers(self.acceptor.keepers)
+        self.registers.update_keepers(self.acceptor.keepers)
         self.configuration = Configuration(
             self.acceptor.follower,
             self.node.peers,
@@ -100,11 +100,11 @@
         self.voter = LeaseVoter(read_clock_s() + limits.lease_s)
         self.membership = Membership(self)
         self.node.make_heartbeat = self._make_heartbeat
-        self.is_complete = False
+        self.is_caught_up = False
         self._is_waiting = False
         # A disk votes only once another keeper has told how far it had come,
         # so that an older copy of it is found out.
-        self.is_checked = self.node.peers.keepers == {self.node.process}
+        self.is_disk_checked = self.node.peers.keepers == {self.node.process}
         self._is_outdated = False
         self._seen: dict[ProcessId, Seen] = {}
         self._last_beat_s = read_clock_s()
@@ -158,7 +158,7 @@
                 return Refused(int(ResultCode.LINK_MALFORMED), "not for a keeper")
 
     def _handle_register(self, message: Prepare | Accept) -> PeerMessage | Awaitable[PeerMessage]:
-        if not self.is_checked:
+        if not self.is_disk_checked:
             return Refused(int(ResultCode.KEEPER_NOT_VOTING), "its disk's age is not checked yet")
         handled = self.acceptor.handle(message, time.time())
         if not handled.records:
@@ -192,18 +192,18 @@
             self.node.spawn(self.membership.fetch(process), "fetch keepers")
         if heartbeat.version > self.acceptor.follower.version:
             # Somebody runs a version that this disk lacks.
-            self.is_complete = False
+            self.is_caught_up = False
             self.node.spawn(self.configuration.pull(process), "pull")
 
     def _check_age(self, heartbeat: Heartbeat) -> None:
         is_own_disk = heartbeat.seen_disk_id in ("", self.acceptor.identity.disk_id)
         if not is_own_disk or heartbeat.seen_sequence <= self.storage.sequence:
-            self.is_checked = self.is_checked or not self._is_outdated
+            self.is_disk_checked = self.is_disk_checked or not self._is_outdated
             return
         if not self._is_outdated:
             detail = f"peer saw {heartbeat.seen_sequence} records, disk has {self.storage.sequence}"
             self.node.events.emit("disk_old", code=ResultCode.KEEPER_DISK_OLD, detail=detail)
-        self.is_checked, self._is_outdated = False, True
+        self.is_disk_checked, self._is_outdated = False, True
 
     async def _beat(self) -> None:
         limits = self.node.settings.limits
@@ -211,13 +211,13 @@
             now_s = read_clock_s()
             if now_s - self._last_beat_s > limits.lease_s:
                 # This process was frozen; the others may have gone on.
-                self.is_complete = False
+                self.is_caught_up = False
             self._last_beat_s = now_s
             self.node.send_heartbeats()
-            if not self.is_complete:
+            if not self.is_caught_up:
                 await self._complete()
             await self._join()
-            if self.storage.log_records > SNAPSHOT_RECORDS:
+            if self.storage.log_record_count > MAX_LOG_RECORDS:
                 self.write_snapshot()
             await asyncio.sleep(limits.heartbeat_s)
 
@@ -230,7 +230,7 @@
             version=self.acceptor.follower.version,
             epoch=self.acceptor.epoch,
             sequence=self.storage.sequence,
-            complete=self.is_complete,
+            complete=self.is_caught_up,
             seen_sequence=seen.sequence,
             seen_disk_id=seen.disk_id,
             disk_id=self.acceptor.identity.disk_id,
@@ -252,7 +252,7 @@
         except TroutstandError as error:
             self._note_waiting(error)
             return
-        self.is_complete = True
+        self.is_caught_up = True
         self._is_waiting = False
 
     def _note_waiting(self, error: TroutstandError) -> None:
@@ -274,5 +274,5 @@
         """Replace the log by the state it leads to."""
         retention_s = self.node.settings.limits.claim_retention_s
         records = self.acceptor.collect_snapshot(time.time(), retention_s)
-        self.storage.replace(records)
+        self.storage.write_snapshot(records)
         self.node.events.emit("snapshot_written", records=len(records))
--- a/troutstand/daemon/scheduling.py
+++ b/troutstand/daemon/leasedscheduler.py
@@ -46,7 +46,7 @@
 _ASKS_A_LEASE = 4
 
 
-class Scheduling:
+class LeasedScheduler:
     """Hold or follow the scheduler's lease of one failure domain."""
 
     def __init__(
@@ -196,7 +196,7 @@
         ]
         return max(found, key=lambda peer: peers.heard[peer].at_s, default=None)
 
-    def notice_heartbeat(self) -> None:
+    def follow_scheduler(self) -> None:
         """Follow at once the scheduler that a heartbeat told of."""
         if self.scheduler is None:
             self._placement.follow(self._find_scheduler())
--- a/troutstand/daemon/membership.py
+++ b/troutstand/daemon/membership.py
@@ -52,7 +52,7 @@
     def install(self, keepers: KeeperSet) -> PeerMessage | Awaitable[PeerMessage]:
         """Make a decided keeper set durable here."""
         records = self._keeper.acceptor.install_keepers(keepers)
-        self._keeper.registers.learn_keepers(keepers)
+        self._keeper.registers.update_keepers(keepers)
         if not records:
             return Acknowledged()
         self._keeper.node.events.emit("keepers_installed", epoch=keepers.epoch)
@@ -82,7 +82,7 @@
             detail = f"epoch {keepers.epoch} is not yet at {', '.join(failed)}; repeat the call"
             raise TroutstandError(ResultCode.KEEPER_CHANGE_REFUSED, detail)
 
-    async def form(self) -> KeeperSet:
+    async def make_initial_set(self) -> KeeperSet:
         """Make all configured keepers the first set; each must be formatted and new."""
         names = sorted(self._keeper.node.peers.keepers | {self._keeper.node.process})
         replies = [await self._ask(name, KeepersAsk()) for name in names]
--- a/troutstand/daemon/registers.py
+++ b/troutstand/daemon/registers.py
@@ -69,7 +69,7 @@
         """Return the epoch of the known keeper set."""
         return self.keepers.epoch if self.keepers else 0
 
-    def learn_keepers(self, keepers: KeeperSet | None) -> None:
+    def update_keepers(self, keepers: KeeperSet | None) -> None:
         """Take a newer keeper set."""
         if keepers and keepers.epoch > self.epoch:
             self.keepers = keepers
@@ -80,7 +80,7 @@
         # A silent keeper tells nothing new; a missed majority raises QUORUM_UNREACHABLE.
         for reply in await asyncio.gather(*asks, return_exceptions=True):
             if isinstance(reply, KeepersReply):
-                self.learn_keepers(reply.keepers)
+                self.update_keepers(reply.keepers)
 
     async def decide(self, register: RegisterName, value: bytes, fresh: bool = False) -> bytes:
         """Propose a value and return the one that is decided.
@@ -155,7 +155,7 @@
         for _ in voters:
             keeper, reply = await replies.get()
             if isinstance(reply, Refused):
-                self.learn_keepers(reply.keepers)
+                self.update_keepers(reply.keepers)
             if not isinstance(reply, Promise | Accepted):
                 continue
             following = proposer.receive(keeper, reply)
--- a/troutstand/daemon/requests.py
+++ b/troutstand/daemon/requests.py
@@ -15,7 +15,7 @@
 from troutstand.core.errors import TroutstandError
 from troutstand.core.fingerprint import compute_fingerprint
 from troutstand.core.prefix import Prefixes, count_tokens, hash_prefixes
-from troutstand.daemon.refusals import KEY_HEADER
+from troutstand.daemon.errorresponse import IDEMPOTENCY_KEY_HEADER
 from troutstand.generated.table import Model, Service, Target, Tier, Workspace
 
 if TYPE_CHECKING:
@@ -152,7 +152,7 @@
     TroutstandError
         KEY_INVALID.
     """
-    key = request.headers.get(KEY_HEADER)
+    key = request.headers.get(IDEMPOTENCY_KEY_HEADER)
     if key is None:
         return secrets.token_urlsafe(_KEY_BYTES), True
     if not 0 < len(key) <= MAX_KEY_CHARACTERS or not key.isprintable():
--- a/troutstand/daemon/services.py
+++ b/troutstand/daemon/servicecalls.py
@@ -17,7 +17,7 @@
 from troutstand.core.errors import TroutstandError
 from troutstand.core.fingerprint import compute_fingerprint
 from troutstand.core.ids import CommandKey
-from troutstand.daemon.refusals import KEY_HEADER
+from troutstand.daemon.errorresponse import IDEMPOTENCY_KEY_HEADER
 from troutstand.generated.messages import Finished, Grant, Outcome, OutcomeKind, PlacementAsk
 from troutstand.util.clock import read_clock_s
 
@@ -37,7 +37,7 @@
     """Carry a checked call of a service."""
 
     key: str
-    minted: bool
+    is_key_generated: bool
     caller: Caller
     service: Service
     method: str
@@ -63,13 +63,13 @@
         workspace = self.caller.workspace.name
         return compute_fingerprint(workspace, self.method, "", self.path, self.body)
 
-    def digest(self) -> str:
+    def compute_digest(self) -> str:
         """Return a digest that tells this call from others of its key."""
         parts = [self.service.name, self.method, self.path, self.content_type]
         return xxhash.xxh3_128_hexdigest("\n".join(parts).encode() + b"\n" + self.body)
 
 
-class ServiceCalls:
+class ServiceCallHandler:
     """Place calls of services, and run commands at most once."""
 
     def __init__(self, entry: EntryProcess) -> None:
@@ -99,8 +99,8 @@
         try:
             outcome = await self._entry.commands.run(
                 call.command_key,
-                call.digest(),
-                call.minted,
+                call.compute_digest(),
+                call.is_key_generated,
                 call.attempt,
                 call.service.timeout_s,
                 lambda: self._send_once(call, request),
@@ -217,5 +217,5 @@
         status=reply.status,
         body=reply.body,
         content_type=reply.content_type or None,
-        headers={KEY_HEADER: key},
+        headers={IDEMPOTENCY_KEY_HEADER: key},
     )
--- a/troutstand/daemon/storage.py
+++ b/troutstand/daemon/storage.py
@@ -159,12 +159,12 @@
             fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError as error:
             raise TroutstandError(ResultCode.DATA_FOLDER_IN_USE, folder.name) from error
-        self.log_records = 0
-        self.syncs = 0
+        self.log_record_count = 0
+        self.sync_count = 0
         snapshot, _ = read_records(folder / _SNAPSHOT)
         log, good_bytes = read_records(folder / _LOG)
         self.loaded = snapshot + log
-        self.log_records = len(log)
+        self.log_record_count = len(log)
         counted = [r.sequence for r in snapshot if isinstance(r, StoredSequence)]
         self._snapshot_sequence = counted[0] if counted else 0
         # Unbuffered, so that a refused write leaves nothing behind to come later.
@@ -177,7 +177,7 @@
     @property
     def sequence(self) -> int:
         """Return how many records were written since the disk was formatted."""
-        return self._snapshot_sequence + self.log_records
+        return self._snapshot_sequence + self.log_record_count
 
     def append(self, records: Iterable[StoredRecord]) -> None:
         """Write records and sync them once.
@@ -195,9 +195,9 @@
         except OSError as error:
             self._cut_back()
             raise TroutstandError(ResultCode.STORAGE_FAILED, str(error)) from error
-        self.log_records += len(frames)
+        self.log_record_count += len(frames)
         self.log_bytes += len(data)
-        self.syncs += 1
+        self.sync_count += 1
 
     def _cut_back(self) -> None:
         """Take a half-written record away, so that later ones can be read."""
@@ -206,14 +206,14 @@
         with contextlib.suppress(OSError):
             self._file.truncate(self.log_bytes)
 
-    def replace(self, records: Iterable[StoredRecord]) -> None:
+    def write_snapshot(self, records: Iterable[StoredRecord]) -> None:
         """Write a snapshot of all state and empty the log."""
         sequence = StoredSequence(self.sequence)
         frames = [frame_record(record) for record in (sequence, *records)]
         _write_whole(self._folder / _SNAPSHOT, b"".join(frames))
         self._file.truncate(0)
         os.fsync(self._file.fileno())
-        self._snapshot_sequence, self.log_records = sequence.sequence, 0
+        self._snapshot_sequence, self.log_record_count = sequence.sequence, 0
         self.log_bytes = 0
 
     def close(self) -> None:
--- a/troutstand/routing/keeper.py
+++ b/troutstand/routing/keeper.py
@@ -119,7 +119,7 @@
             _REGISTER_TIMEOUT_S,
             self.node.random.getrandbits(32),
         )
-        self.registers.learn_keepers(self.acceptor.keepers)
+        self.registers.update_keepers(self.acceptor.keepers)
         self.line = self._make_line(Line.configuration)
         self.rollouts = RolloutStore(self._make_line(Line.rollouts), self.node.events)
         self.replacement = KeeperReplacement(self)
--- a/troutstand/routing/keeperreplacement.py
+++ b/troutstand/routing/keeperreplacement.py
@@ -116,7 +116,7 @@
     async def install(self, keepers: KeeperSet) -> None:
         """Store a decided keeper set."""
         records = self._keeper.acceptor.install_keepers(keepers)
-        self._keeper.registers.learn_keepers(keepers)
+        self._keeper.registers.update_keepers(keepers)
         if records:
             await self._keeper.journal.write(records)
             self._keeper.node.events.emit("keeper_set_installed", epoch=keepers.epoch)
--- a/troutstand/routing/lineclient.py
+++ b/troutstand/routing/lineclient.py
@@ -167,7 +167,7 @@
             # A voter that does not reply has no vote; the caller checks the quorum.
             return voter, None
         if isinstance(reply, Refused):
-            self._registers.learn_keepers(reply.keepers)
+            self._registers.update_keepers(reply.keepers)
         return voter, reply if isinstance(reply, Newest) else None
 
     async def _decide(self, version: int, content: bytes | None) -> bool:
--- a/troutstand/routing/recoveringjournal.py
+++ b/troutstand/routing/recoveringjournal.py
@@ -71,7 +71,7 @@
         """
         records = self._collect_state()
         try:
-            self._storage.replace(records)
+            self._storage.write_snapshot(records)
         except OSError as error:
             raise TroutstandError(ResultCode.STORAGE_FAILED, str(error)) from error
         self._events.emit("snapshot_written", records=len(records))
--- a/troutstand/testing/load.py
+++ b/troutstand/testing/load.py
@@ -11,7 +11,7 @@
 import aiohttp
 import msgspec
 
-from troutstand.daemon.refusals import ErrorBody, ErrorEnvelope
+from troutstand.daemon.errorresponse import ErrorBody, ErrorEnvelope
 from troutstand.testing.site import MODEL, SERVICE
 
 if TYPE_CHECKING:
--- a/troutstand/tests/steps/storage.py
+++ b/troutstand/tests/steps/storage.py
@@ -51,7 +51,7 @@
 
 @when("the records are replaced by a snapshot of {count:d}")
 def snapshot(context: Context, count: int) -> None:
-    context.storage.replace([make_record(number) for number in range(count)])
+    context.storage.write_snapshot([make_record(number) for number in range(count)])
 
 
 def reopen(context: Context) -> list[StoredRegister]:
