--- a/troutstand/routing/targetlist.py
+++ b/troutstand/routing/targetlist.py
@@ -1,4 +1,4 @@
-"""Read the list of targets, which lags and takes few calls."""
+"""Read the list of targets from its server and distribute it to gateways."""
 
 from __future__ import annotations
 
@@ -26,26 +26,28 @@
     from troutstand.routing.dialect import Dialect
     from troutstand.util.events import EventBus
 
-_TIMEOUT_S = 1.0
-_CONNECT_S = 0.5
+_READ_TIMEOUT_S = 1.0
+_CONNECT_TIMEOUT_S = 0.5
 _STATUS_OK = 200
 _MAX_PAGES = 1000
-# Lines about spoiled entries that one read may cause.
-_MAX_LINES = 20
+# Limit of logged invalid entries per read.
+_MAX_LOGGED_ENTRIES = 20
 
 
 class TargetListError(Exception):
-    """Report that the list could not be read."""
+    """Raised when the list of targets cannot be read."""
 
 
 @dataclass(frozen=True)
 class TargetListUpdate:
-    """Hold what a gateway is told of the list of targets.
+    """Describe the list of targets, or its changes, as sent to a gateway.
 
     Parameters
     ----------
+    has_targets
+        Whether there is anything to send.
     base
-        The list from which the targets are the changes; empty where they are all of it.
+        The version that the changes apply to; empty for a full list.
     """
 
     has_targets: bool = False
@@ -55,7 +57,7 @@
 
 
 class TargetList:
-    """Hold the newest list that was read, with a digest that tells lists apart."""
+    """Hold the newest list of targets; its version is a digest of its contents."""
 
     def __init__(self, address: str, dialect: Dialect) -> None:
         self.targets: list[ListedTarget] = []
@@ -64,92 +66,92 @@
         self._history = TargetListHistory()
         self._address = address
         self._dialect = dialect
-        self._pool = ConnectionPool(_CONNECT_S)
-        self._sound = ValidEntryCache()
-        self._spoiled: frozenset[InvalidEntry] = frozenset()
-        self._spoiled_news: list[InvalidEntry] = []
-        self._read_s = read_clock_s()
+        self._pool = ConnectionPool(_CONNECT_TIMEOUT_S)
+        self._valid_entries = ValidEntryCache()
+        self._invalid: frozenset[InvalidEntry] = frozenset()
+        self._new_invalid: list[InvalidEntry] = []
+        self._last_read_s = read_clock_s()
 
     def install(self, targets: list[ListedTarget], version: str) -> None:
-        """Take a list of another version."""
+        """Replace the list and record the difference from the previous version."""
         if self.version and version != self.version:
             self._history.record(self.version, diff_target_lists(self.targets, targets))
         self.targets, self.version = targets, version
 
-    def apply_update(self, told: Attached) -> bool:
-        """Take the list that a scheduler tells, or what changed; tell whether it fits."""
-        if not told.targets_base:
-            self.install(told.targets, told.targets_version)
+    def apply_update(self, reply: Attached) -> bool:
+        """Apply a full list or its changes from a scheduler; return whether the base matched."""
+        if not reply.targets_base:
+            self.install(reply.targets, reply.targets_version)
             return True
-        if told.targets_base != self.version:
-            # Another list came meanwhile; the next heartbeat tells what has changed since.
+        if reply.targets_base != self.version:
+            # The list was replaced meanwhile; the next heartbeat asks for the changes since then.
             return False
-        change = TargetListDiff(told.targets, told.gone)
-        self.install(change.apply(self.targets), told.targets_version)
+        diff = TargetListDiff(reply.targets, reply.gone)
+        self.install(diff.apply(self.targets), reply.targets_version)
         return True
 
     def make_update(self, version: str, now_s: float) -> TargetListUpdate:
-        """Return what a gateway is told that holds the list of a version.
+        """Return the update for a gateway that holds a given version.
 
-        Told whole at each change, 270 gateways got 72 MB for one of 3,000 targets that left,
-        and 0.2 MB with what had changed alone.
+        Sends only the changes if possible, since a full list to every gateway at each change
+        would use much bandwidth.
         """
         if version == self.version:
             return TargetListUpdate()
-        change = self._history.find_diff_since(version)
-        if change is not None:
-            return TargetListUpdate(True, change.updated, change.removed, version)
+        diff = self._history.find_diff_since(version)
+        if diff is not None:
+            return TargetListUpdate(True, diff.updated, diff.removed, version)
         if self.full_list_limiter.try_acquire(len(self.targets), now_s):
             return TargetListUpdate(True, self.targets)
-        # It goes by the list that it has, and asks again with its next heartbeat.
+        # The gateway keeps its list and asks again with its next heartbeat.
         return TargetListUpdate()
 
     def list_leaving(self) -> list[str]:
-        """Return the targets that the held list shows as leaving."""
+        """Return the names of the targets listed as draining."""
         return [entry.target for entry in self.targets if entry.state is ListedState.draining]
 
     async def read(self) -> bool:
-        """Read the whole list; tell whether it changed.
+        """Read the full list and return whether it changed.
 
         Raises
         ------
-        ListUnreadError
-            The held list stays as it is.
+        TargetListError
+            If the read fails; the list stays unchanged.
         """
         try:
-            async with asyncio.timeout(_TIMEOUT_S):
+            async with asyncio.timeout(_READ_TIMEOUT_S):
                 pages = await self._read_pages()
         except (TimeoutError, ExchangeError, TroutstandError) as error:
             raise TargetListError(str(error) or type(error).__name__) from error
-        self._read_s = read_clock_s()
+        self._last_read_s = read_clock_s()
         self._record_invalid_entries(pages)
-        targets = self._sound.merge(pages, self._read_s)
+        targets = self._valid_entries.merge(pages, self._last_read_s)
         targets.sort(key=lambda entry: entry.target)
-        version = _digest(targets)
+        version = _compute_version(targets)
         changed = version != self.version
         self.install(targets, version)
         return changed
 
     @property
     def age_s(self) -> float:
-        """Return how long ago the list was read here, in seconds."""
-        return read_clock_s() - self._read_s
+        """Return the seconds since the last successful read, or since creation if none."""
+        return read_clock_s() - self._last_read_s
 
     def _record_invalid_entries(self, pages: list[TargetPage]) -> None:
-        spoiled = frozenset(entry for page in pages for entry in page.invalid)
-        self._spoiled_news.extend(spoiled - self._spoiled)
-        self._spoiled = spoiled
+        invalid = frozenset(entry for page in pages for entry in page.invalid)
+        self._new_invalid.extend(invalid - self._invalid)
+        self._invalid = invalid
 
     def emit_invalid_entries(self, events: EventBus) -> None:
-        """Write a line for each spoiled entry that the list before did not hold."""
-        news, self._spoiled_news = self._spoiled_news, []
-        for entry in news[:_MAX_LINES]:
+        """Log each invalid entry that the previous read did not contain."""
+        new_entries, self._new_invalid = self._new_invalid, []
+        for entry in new_entries[:_MAX_LOGGED_ENTRIES]:
             events.emit(
                 "target_entry_spoiled",
                 code=ResultCode.FIELD_INVALID,
                 target=entry.target or None,
                 cause=entry.cause,
-                entries=len(self._spoiled),
+                entries=len(self._invalid),
             )
 
     async def _read_pages(self) -> list[TargetPage]:
@@ -161,7 +163,7 @@
             token = page.next_token
             if token is None:
                 return pages
-        raise TargetListError(f"more than {_MAX_PAGES} pages")
+        raise TargetListError(f"the list of targets has more than {_MAX_PAGES} pages")
 
     async def _get(self, token: str | None) -> bytes:
         connection = await self._pool.acquire(self._address)
@@ -170,22 +172,22 @@
                 "GET", self._dialect.get_targets_path(token), [("Host", self._address)]
             )
             connection.send(head, b"", False)
-            answer = await connection.receive_head()
+            response = await connection.receive_head()
             data = b"".join([chunk async for chunk in connection.receive_chunks()])
         except BaseException:
             connection.abort()
             raise
         self._pool.release(connection)
-        if answer.status != _STATUS_OK:
-            raise TargetListError(f"status {answer.status}")
+        if response.status != _STATUS_OK:
+            raise TargetListError(f"the list of targets returned status {response.status}")
         return data
 
     def close(self) -> None:
-        """Close the connections."""
+        """Close the connections to the list's server."""
         self._pool.close()
 
 
-def _digest(targets: list[ListedTarget]) -> str:
+def _compute_version(targets: list[ListedTarget]) -> str:
     text = "\n".join(
         f"{t.target} {t.service} {t.address} {t.slots} {t.state.value} {t.version} {t.born_ms}"
         for t in targets
--- a/troutstand/routing/targetpages.py
+++ b/troutstand/routing/targetpages.py
@@ -1,7 +1,7 @@
-"""Read pages of the list of targets, entry by entry.
+"""Decode and validate pages of the list of targets, entry by entry.
 
-Others write to the list too. An entry that cannot be read, lacks a field or holds a value
-that is not accepted names no target; the other entries of its page hold.
+The list has several writers. An invalid entry is reported and skipped, and does not affect
+the other entries of its page.
 """
 
 from __future__ import annotations
@@ -25,17 +25,16 @@
 
 T = TypeVar("T", bound=msgspec.Struct)
 
-_MAX_CAUSE = 200
-_MAX_NAME = 128
-# How long a target is known whose entry cannot be read any more, in seconds: two reads of
-# the list. Within that time a spoiled entry is mended or a target has left for good; a
-# target that left is tried in vain for no longer than a list may lag.
-_HOLD_S = 2.0
+_MAX_CAUSE_LENGTH = 200
+_MAX_ID_LENGTH = 128
+# Time for which a target stays known after its last valid entry: two reads of the list,
+# which is no longer than the list itself may lag.
+_RETENTION_S = 2.0
 
 
 @dataclass(frozen=True)
 class InvalidEntry:
-    """Tell of an entry that names no target; the target is empty where it cannot be read."""
+    """Describe an entry that was rejected; the target is empty if its id cannot be read."""
 
     target: str
     cause: str
@@ -43,7 +42,7 @@
 
 @dataclass(frozen=True)
 class TargetPage:
-    """Hold one page of the list of targets and the token of the next."""
+    """Hold the entries of one page and the token of the next page."""
 
     targets: list[ListedTarget]
     next_token: str | None
@@ -52,7 +51,7 @@
 
 @dataclass(frozen=True)
 class PageFormat:
-    """Name the fields of a page in one deployment's form."""
+    """Name the fields of a page in a deployment's format."""
 
     entries: str
     next_token: str
@@ -60,138 +59,141 @@
 
 
 def decode_page(
-    data: bytes, form: PageFormat, kind: type[T], translate: Callable[[T], ListedTarget]
+    data: bytes,
+    page_format: PageFormat,
+    entry_type: type[T],
+    translate: Callable[[T], ListedTarget],
 ) -> TargetPage:
-    """Decode a page; entries that name no target are told apart.
+    """Decode a page and separate its invalid entries.
 
     Raises
     ------
     TroutstandError
-        FIELD_INVALID where neither the entries nor the next page can be found.
+        FIELD_INVALID if the token of the next page cannot be determined.
     """
-    entries, next_token = _split_page(data, form)
+    entries, next_token = _split_page(data, page_format)
     targets: list[ListedTarget] = []
-    spoiled: list[InvalidEntry] = []
+    invalid: list[InvalidEntry] = []
     for entry in entries:
         try:
-            targets.append(_check_target(translate(_decode_entry(entry, kind))))
+            targets.append(_check_target(translate(_decode_entry(entry, entry_type))))
         except (msgspec.MsgspecError, UnicodeDecodeError, TroutstandError) as error:
             detail = error.detail if isinstance(error, TroutstandError) else str(error)
-            name = _read_name(entry, form.target)
-            spoiled.append(InvalidEntry(name, detail[:_MAX_CAUSE]))
-    return TargetPage(targets, next_token, spoiled)
+            target_id = _read_target_id(entry, page_format.target)
+            invalid.append(InvalidEntry(target_id, detail[:_MAX_CAUSE_LENGTH]))
+    return TargetPage(targets, next_token, invalid)
 
 
-def _decode_entry(entry: Any, kind: type[T]) -> T:
+def _decode_entry(entry: Any, entry_type: type[T]) -> T:
     if isinstance(entry, msgspec.Raw):
-        return msgspec.json.decode(entry, type=kind)
-    return msgspec.convert(entry, type=kind)
+        return msgspec.json.decode(entry, type=entry_type)
+    return msgspec.convert(entry, type=entry_type)
 
 
 def _check_target(target: ListedTarget) -> ListedTarget:
     if not target.target:
-        raise TroutstandError(ResultCode.FIELD_INVALID, "the target's id is empty")
+        raise TroutstandError(ResultCode.FIELD_INVALID, "the id of the target is empty")
     if not target.service:
         raise TroutstandError(ResultCode.FIELD_INVALID, "the service is empty")
     if not is_address(target.address):
-        detail = f"address {target.address!r}, {ADDRESS_FORMAT}"
+        detail = f"address {target.address!r}: {ADDRESS_FORMAT}"
         raise TroutstandError(ResultCode.FIELD_INVALID, detail)
     if target.slots < 1:
-        raise TroutstandError(
-            ResultCode.FIELD_INVALID, f"slots {target.slots}, 1 and more are accepted"
-        )
+        raise TroutstandError(ResultCode.FIELD_INVALID, f"slots {target.slots}: must be at least 1")
     return target
 
 
-def _read_name(entry: Any, name: str) -> str:
-    """Return the id that a spoiled entry holds, or nothing."""
+def _read_target_id(entry: Any, id_field: str) -> str:
+    """Return the target id of an invalid entry, or an empty string if it has none."""
     try:
         plain = msgspec.json.decode(entry) if isinstance(entry, msgspec.Raw) else entry
     except (msgspec.DecodeError, UnicodeDecodeError):
-        # The cause tells that the entry cannot be read.
         return ""
-    value = plain.get(name) if isinstance(plain, dict) else None
-    return value[:_MAX_NAME] if isinstance(value, str) else ""
+    value = plain.get(id_field) if isinstance(plain, dict) else None
+    return value[:_MAX_ID_LENGTH] if isinstance(value, str) else ""
 
 
 @dataclass(frozen=True)
-class _Seen:
-    """Hold a target's last sound entry; the time in seconds."""
+class _CachedEntry:
+    """Hold a target's last valid entry and the time at which it was read."""
 
     entry: ListedTarget
-    at_s: float
+    read_s: float
 
 
 class ValidEntryCache:
-    """Keep targets for a while whose entries cannot be read."""
+    """Retain targets for a limited time after their entries become invalid."""
 
     def __init__(self) -> None:
-        self._seen: dict[str, _Seen] = {}
+        self._cached: dict[str, _CachedEntry] = {}
 
     def merge(self, pages: list[TargetPage], now_s: float) -> list[ListedTarget]:
-        """Return the targets that the pages name, and those that a spoiled entry may name.
+        """Return the valid entries, and retained ones that an invalid entry may stand for.
 
-        An entry that can be told to be a target's, but not what it says, gives that target
-        no new work; one that cannot be told may be any target's, and changes nothing.
+        A target with an invalid entry is returned as draining. An invalid entry without an id
+        may belong to any missing target, so all of these are returned unchanged.
         """
-        sound = {entry.target: entry for page in pages for entry in page.targets}
-        spoiled = {entry.target for page in pages for entry in page.invalid}
-        held: list[ListedTarget] = []
-        for target, seen in list(self._seen.items()):
-            if target in sound:
+        valid = {entry.target: entry for page in pages for entry in page.targets}
+        invalid = {entry.target for page in pages for entry in page.invalid}
+        retained: list[ListedTarget] = []
+        for target, cached in list(self._cached.items()):
+            if target in valid:
                 continue
-            if now_s - seen.at_s > _HOLD_S:
-                del self._seen[target]
-            elif target in spoiled:
-                held.append(msgspec.structs.replace(seen.entry, state=ListedState.draining))
-            elif "" in spoiled:
-                held.append(seen.entry)
-        self._seen.update({target: _Seen(entry, now_s) for target, entry in sound.items()})
-        return [*sound.values(), *held]
+            if now_s - cached.read_s > _RETENTION_S:
+                del self._cached[target]
+            elif target in invalid:
+                retained.append(msgspec.structs.replace(cached.entry, state=ListedState.draining))
+            elif "" in invalid:
+                retained.append(cached.entry)
+        self._cached.update({target: _CachedEntry(entry, now_s) for target, entry in valid.items()})
+        return [*valid.values(), *retained]
 
 
-# Taking a page apart
+# Parsing
 
 
-def _split_page(data: bytes, form: PageFormat) -> tuple[list[Any], str | None]:
-    """Return a page's entries and the token of the next page."""
+def _split_page(data: bytes, page_format: PageFormat) -> tuple[list[Any], str | None]:
+    """Return the entries of a page and the token of the next page."""
     try:
         page = msgspec.json.decode(data, type=dict[str, msgspec.Raw])
-        entries = msgspec.json.decode(page[form.entries], type=list[msgspec.Raw])
-        token = msgspec.json.decode(page.get(form.next_token, b"null"), type=str | None)
+        entries = msgspec.json.decode(page[page_format.entries], type=list[msgspec.Raw])
+        token = msgspec.json.decode(page.get(page_format.next_token, b"null"), type=str | None)
     except (msgspec.DecodeError, UnicodeDecodeError, KeyError):
-        # The page is no JSON as a whole, as where one entry is cut short.
-        return _salvage_page(data, form)
+        # The page as a whole is not valid JSON, for instance because an entry is truncated.
+        return _salvage_page(data, page_format)
     return entries, token
 
 
-def _salvage_page(data: bytes, form: PageFormat) -> tuple[list[Any], str | None]:
-    """Read what can be read of a page that is not well-formed.
+def _salvage_page(data: bytes, page_format: PageFormat) -> tuple[list[Any], str | None]:
+    """Extract the readable entries of a malformed page.
 
     Raises
     ------
     TroutstandError
-        FIELD_INVALID where it does not tell whether another page follows.
+        FIELD_INVALID if the token of the next page cannot be read.
     """
     text = data.decode("utf-8", "surrogateescape")
-    tokens = re.findall(rf'"{form.next_token}"\s*:\s*(null|"(?:[^"\\]|\\.)*")', text)
+    tokens = re.findall(rf'"{page_format.next_token}"\s*:\s*(null|"(?:[^"\\]|\\.)*")', text)
     if not tokens:
-        raise TroutstandError(ResultCode.FIELD_INVALID, "list of targets: no page can be found")
-    begin = re.search(rf'"{form.entries}"\s*:\s*\[', text)
+        raise TroutstandError(
+            ResultCode.FIELD_INVALID,
+            "list of targets: the page has no readable token of the next page",
+        )
+    begin = re.search(rf'"{page_format.entries}"\s*:\s*\[', text)
     entries = list(_salvage_entries(text, begin.end())) if begin else [None]
     try:
         token = json.loads(tokens[-1])
     except ValueError as error:
-        detail = f"list of targets: next page {tokens[-1][:_MAX_NAME]!r}"
+        detail = f"list of targets: invalid token of the next page {tokens[-1][:_MAX_ID_LENGTH]!r}"
         raise TroutstandError(ResultCode.FIELD_INVALID, detail) from error
     return entries, token
 
 
 def _salvage_entries(text: str, position: int) -> Iterator[Any]:
-    """Yield the values of a list; what cannot be read is passed over up to the next object."""
+    """Yield the values of a list; after a malformed value, continue at the next object."""
     decoder = json.JSONDecoder()
     while True:
-        position = _skip_blanks(text, position)
+        position = _skip_separators(text, position)
         if position >= len(text) or text[position] == "]":
             return
         try:
@@ -204,7 +206,7 @@
                 return
 
 
-def _skip_blanks(text: str, position: int) -> int:
+def _skip_separators(text: str, position: int) -> int:
     while position < len(text) and text[position] in " \t\r\n,":
         position += 1
     return position
