--- a/troutstand/routing/rolloutdriver.py
+++ b/troutstand/routing/rolloutdriver.py
@@ -1,4 +1,4 @@
-"""Drive the rollouts under way from the scheduler that the gateways ask."""
+"""Drive the active rollouts from the scheduler that the gateways use."""
 
 from __future__ import annotations
 
@@ -33,22 +33,22 @@
     from troutstand.routing.rolloutcache import RolloutCache
 
 _PERIOD_S = 0.25
-# A keeper answers once its majority has decided, or gives up after 2.5 s.
-_ASK_S = 3.0
-# How often the evidence of a trial is logged, in seconds.
-_LOG_S = 1.0
+# Longer than a keeper waits for its quorum before it gives up.
+_KEEPER_TIMEOUT_S = 3.0
+# Interval at which the outcomes of a canary version are logged.
+_LOG_INTERVAL_S = 1.0
 _MILLISECONDS = 1000.0
-# A request of a service without routes may take so long, in seconds.
-_LONGEST_S = 10.0
+# Request timeout assumed for a service without routes.
+_DEFAULT_MAX_REQUEST_S = 10.0
 
 
 class RolloutDriver:
-    """Judge versions on trial and ask the keepers for the next steps.
+    """Evaluate canary versions and request the next rollout steps from the keepers.
 
     Parameters
     ----------
-    read_lead
-        Returns the share of the gateways that ask this scheduler, 0 to 1.
+    get_gateway_share
+        Returns the share of the gateways that use this scheduler, 0 to 1.
     """
 
     def __init__(
@@ -56,159 +56,163 @@
         node: RoutingNode,
         dispatcher: Dispatcher,
         follower: Follower,
-        read_lead: Callable[[], float],
+        get_gateway_share: Callable[[], float],
     ) -> None:
         self._node = node
         self._dispatcher = dispatcher
         self._follower = follower
-        self._known: RolloutCache = follower.rollouts
-        self._read_lead = read_lead
-        self._asking: set[str] = set()
-        self._logged_s: dict[str, float] = {}
-        self._turn = 0
-        self._is_noting = False
+        self._rollouts: RolloutCache = follower.rollouts
+        self._get_gateway_share = get_gateway_share
+        self._pending: set[str] = set()
+        self._last_logged_s: dict[str, float] = {}
+        self._keeper_index = 0
+        self._is_reporting = False
 
     async def run(self) -> None:
-        """Look at every rollout until the process stops."""
+        """Process every active rollout periodically until cancelled."""
         while True:
             await asyncio.sleep(_PERIOD_S)
             now_s = read_clock_s()
-            if self._read_lead() <= 0.0:
+            if self._get_gateway_share() <= 0.0:
                 continue
-            for entry in self._known.book.services:
+            for entry in self._rollouts.book.services:
                 if entry.order is not None and is_active(entry):
-                    # A service that no target was ever listed for has no pool yet; its order
-                    # must come to an end as well.
+                    # A service without listed targets has no pool yet, but its order must end
+                    # as well.
                     pool = self._dispatcher.pools.setdefault(entry.service, Pool())
-                    self._look_at(entry.service, entry.order, pool, now_s)
-
-    def _look_at(self, service: str, order: RolloutOrder, pool: Pool, now_s: float) -> None:
-        situation = self._describe(service, order, pool, now_s)
-        pool.canary.deadline_s = now_s + order.duration_s - situation.elapsed_s
-        pool.canary.is_healthy = situation.evaluation.verdict is Verdict.GOOD
-        pool.canary.is_primary = situation.is_primary
-        self._log_evidence(service, situation, now_s)
-        step = plan_step(situation)
+                    self._process_order(entry.service, entry.order, pool, now_s)
+
+    def _process_order(self, service: str, order: RolloutOrder, pool: Pool, now_s: float) -> None:
+        progress = self._make_progress(service, order, pool, now_s)
+        pool.canary.deadline_s = now_s + order.duration_s - progress.elapsed_s
+        pool.canary.is_healthy = progress.evaluation.verdict is Verdict.GOOD
+        pool.canary.is_primary = progress.is_primary
+        self._log_outcomes(service, progress, now_s)
+        step = plan_step(progress)
         if step is None:
             return
         if step.state is RolloutState.rolled_back:
-            # The keepers may take a while to agree; nothing is sent there meanwhile.
+            # Stop sending to the canary at once, before the keepers have agreed.
             self._dispatcher.block_canary(service)
-        if service not in self._asking:
-            self._asking.add(service)
-            self._node.spawn(self._advance(service, order, step), f"rollout {service}")
+        if service not in self._pending:
+            self._pending.add(service)
+            self._node.spawn(self._request_step(service, order, step), f"rollout {service}")
 
-    def _describe(
+    def _make_progress(
         self, service: str, order: RolloutOrder, pool: Pool, now_s: float
     ) -> RolloutProgress:
         is_switching = order.state is RolloutState.switching
         return RolloutProgress(
             order=order,
             evaluation=pool.canary.evaluate(order.number, now_s),
-            elapsed_s=self._known.get_order_age_s(order, now_s),
-            switched_s=self._known.measure_switched_s(order, now_s) if is_switching else 0.0,
+            elapsed_s=self._rollouts.get_order_age_s(order, now_s),
+            switched_s=self._rollouts.measure_switched_s(order, now_s) if is_switching else 0.0,
             hold_s=pool.hold_s or 0.0,
-            old_running=_count_old(pool, order.version),
-            max_request_s=self._find_longest(service),
-            exposure_left_s=_measure_affordable(pool, self._known.get_order_age_s(order, now_s)),
-            gateway_share=self._read_lead(),
+            old_running=_count_old_running(pool, order.version),
+            max_request_s=self._find_max_request_s(service),
+            exposure_left_s=_compute_exposure_left_s(
+                pool, self._rollouts.get_order_age_s(order, now_s)
+            ),
+            gateway_share=self._get_gateway_share(),
         )
 
-    def _find_longest(self, service: str) -> float:
+    def _find_max_request_s(self, service: str) -> float:
         table = self._follower.table
         routes = table.configuration.routes if table is not None else []
-        limits_ms = [
+        timeouts_ms = [
             route.timeout_ms
             for route in routes
             if any(part.service == service for part in route.split)
         ]
-        return max(limits_ms) / _MILLISECONDS if limits_ms else _LONGEST_S
+        return max(timeouts_ms) / _MILLISECONDS if timeouts_ms else _DEFAULT_MAX_REQUEST_S
 
-    def _log_evidence(self, service: str, situation: RolloutProgress, now_s: float) -> None:
-        if now_s - self._logged_s.get(service, float("-inf")) < _LOG_S:
+    def _log_outcomes(self, service: str, progress: RolloutProgress, now_s: float) -> None:
+        if now_s - self._last_logged_s.get(service, float("-inf")) < _LOG_INTERVAL_S:
             return
-        self._logged_s[service] = now_s
+        self._last_logged_s[service] = now_s
         self._node.events.emit(
             "rollout_evidence",
             service=service,
-            target_version=situation.order.version,
-            state=situation.order.state.value,
-            verdict=situation.evaluation.verdict.value,
-            detail=situation.evaluation.detail,
-            elapsed_s=situation.elapsed_s,
-            old_running=situation.old_running,
-            book=self._known.version,
+            target_version=progress.order.version,
+            state=progress.order.state.value,
+            verdict=progress.evaluation.verdict.value,
+            detail=progress.evaluation.detail,
+            elapsed_s=progress.elapsed_s,
+            old_running=progress.old_running,
+            book=self._rollouts.version,
         )
 
-    async def _advance(self, service: str, order: RolloutOrder, step: Step) -> None:
+    async def _request_step(self, service: str, order: RolloutOrder, step: Step) -> None:
         self._node.events.emit(
             "rollout_step_asked", service=service, state=step.state.value, detail=step.detail
         )
         try:
-            await self._ask(RolloutAdvance(service, order.number, step.state, step.detail))
+            await self._send_to_keeper(
+                RolloutAdvance(service, order.number, step.state, step.detail)
+            )
         finally:
-            self._asking.discard(service)
+            self._pending.discard(service)
 
-    async def _ask(self, message: PeerMessage) -> None:
-        """Ask one keeper, the next one each time; a step that fails is planned again."""
+    async def _send_to_keeper(self, message: PeerMessage) -> None:
+        """Send a message to the next keeper in turn; a failed step is planned again later."""
         keepers = self._node.contacts.list_by_role(RoutingRole.keeper.value)
         if not keepers:
             return
-        self._turn += 1
-        keeper = keepers[self._turn % len(keepers)]
+        self._keeper_index += 1
+        keeper = keepers[self._keeper_index % len(keepers)]
         try:
-            told = await self._node.ask_for(keeper, message, RolloutsTold, _ASK_S)
+            reply = await self._node.ask_for(keeper, message, RolloutsTold, _KEEPER_TIMEOUT_S)
         except TroutstandError as error:
             self._node.events.emit("rollout_step_unclear", code=error.code, detail=error.detail)
             return
-        if isinstance(told, RolloutsTold):
-            self._known.install(told.book, told.version)
+        if isinstance(reply, RolloutsTold):
+            self._rollouts.install(reply.book, reply.version)
 
-    # Which version serves
+    # Versions in force
 
     def report_versions(self, listed: list[ListedTarget]) -> None:
-        """Tell the keepers which version serves, where the book does not say so yet.
+        """Report the version in force of services for which the book has none.
 
-        Only a list read before any order can tell; from then on orders alone change it.
+        After the first report only orders change it.
         """
-        if self._read_lead() <= 0.0 or not self._known.is_leased(read_clock_s()):
+        if self._get_gateway_share() <= 0.0 or not self._rollouts.is_leased(read_clock_s()):
             return
-        found = list_unknown(self._known, listed)
-        if found and not self._is_noting:
-            # Reading the next list must not wait for the keepers.
-            self._is_noting = True
-            self._node.spawn(self._note(VersionsSeen(found)), "note versions")
+        found = list_unreported(self._rollouts, listed)
+        if found and not self._is_reporting:
+            # Runs in its own task, so that the next read of the list need not wait.
+            self._is_reporting = True
+            self._node.spawn(self._send_versions(VersionsSeen(found)), "report versions")
 
-    async def _note(self, seen: VersionsSeen) -> None:
+    async def _send_versions(self, seen: VersionsSeen) -> None:
         try:
-            await self._ask(seen)
+            await self._send_to_keeper(seen)
         finally:
-            self._is_noting = False
+            self._is_reporting = False
 
 
-def list_unknown(known: RolloutCache, listed: list[ListedTarget]) -> list[ServiceRollout]:
-    """Return the version that most targets run, of each service without one in the book."""
+def list_unreported(rollouts: RolloutCache, listed: list[ListedTarget]) -> list[ServiceRollout]:
+    """Return the most common version of each service that has none in force in the book."""
     counts: dict[str, Counter[str]] = {}
     for entry in listed:
         if entry.version and entry.state is ListedState.ready:
             counts.setdefault(entry.service, Counter())[entry.version] += 1
     found: list[ServiceRollout] = []
     for service, versions in sorted(counts.items()):
-        held = find_rollout(known.book, service)
-        ordered = held.order.version if held is not None and held.order is not None else ""
-        others = Counter({v: n for v, n in versions.items() if v != ordered})
-        if (held is None or not held.in_force) and others:
-            found.append(ServiceRollout(service, others.most_common(1)[0][0]))
+        current = find_rollout(rollouts.book, service)
+        ordered = current.order.version if current is not None and current.order is not None else ""
+        candidates = Counter({v: n for v, n in versions.items() if v != ordered})
+        if (current is None or not current.in_force) and candidates:
+            found.append(ServiceRollout(service, candidates.most_common(1)[0][0]))
     return found
 
 
-def _measure_affordable(pool: Pool, elapsed_s: float) -> float:
-    """Return for how long all requests may go to the version on trial, in seconds."""
+def _compute_exposure_left_s(pool: Pool, elapsed_s: float) -> float:
+    """Return how long all requests may go to the canary version, in seconds."""
     exposure = pool.canary.exposure
-    per_s = sum(exposure.placed.values()) / max(_PERIOD_S, elapsed_s)
-    left = exposure.compute_remaining(pool.canary.is_primary)
-    return left / per_s if per_s else 0.0
+    requests_per_s = sum(exposure.placed.values()) / max(_PERIOD_S, elapsed_s)
+    requests_left = exposure.compute_remaining(pool.canary.is_primary)
+    return requests_left / requests_per_s if requests_per_s else 0.0
 
 
-def _count_old(pool: Pool, version: str) -> int:
+def _count_old_running(pool: Pool, version: str) -> int:
     return sum(len(t.running) for t in pool.targets.values() if t.listed.version != version)
--- a/troutstand/routing/rolloutstore.py
+++ b/troutstand/routing/rolloutstore.py
@@ -1,4 +1,4 @@
-"""Change the rollout book at a keeper, by a majority of the keepers."""
+"""Change the rollout book through a quorum of the keepers."""
 
 from __future__ import annotations
 
@@ -21,76 +21,80 @@
 
 
 def decode_book(stored: StoredConfiguration) -> RolloutBook:
-    """Return the book that a keeper holds; an empty one before the first."""
+    """Decode a stored book; return an empty one if nothing is stored yet."""
     return decode_record(stored.content, RolloutBook) if stored.version else RolloutBook()
 
 
 class RolloutStore:
-    """Drive changes of the rollout book from one keeper."""
+    """Read the rollout book and propose changes to it."""
 
     def __init__(self, line: LineClient, events: EventBus) -> None:
         self._line = line
         self._events = events
 
     async def read(self) -> RolloutBook:
-        """Return a book no older than any that was told before the call.
+        """Return the current book, as a linearizable read.
 
         Raises
         ------
         TroutstandError
-            CONFIGURATION_UNKNOWN where no majority tells it in time.
+            CONFIGURATION_UNKNOWN if no quorum replies in time.
         """
         return decode_book(await self._line.read())
 
-    async def begin(self, ask: RolloutRequest) -> RolloutBook:
-        """Take an operator's order and return the book that holds it.
+    async def begin(self, request: RolloutRequest) -> RolloutBook:
+        """Add an operator's order and return the book that contains it.
 
         Raises
         ------
         TroutstandError
-            ROLLOUT_UNDER_WAY, or CONFIGURATION_UNKNOWN; the order may be in the book later
-            all the same.
+            ROLLOUT_UNDER_WAY if the service has another active order.
+            CONFIGURATION_UNKNOWN if no quorum replies in time; the order may take effect later.
         """
-        told = await self._change(lambda book, number: begin(book, ask, number, time.time()))
-        return told.book
+        result = await self._change(lambda book, number: begin(book, request, number, time.time()))
+        return result.book
 
     async def abort(self, service: str) -> RolloutBook:
-        """Roll the order under way back, as an operator wishes.
+        """Roll back the active order of a service.
 
         Raises
         ------
         TroutstandError
-            ROLLOUT_UNKNOWN where none is under way, or CONFIGURATION_UNKNOWN.
+            ROLLOUT_UNKNOWN if there is none; CONFIGURATION_UNKNOWN as for `begin`.
         """
         return (await self._change(lambda book, _: abort(book, service))).book
 
-    async def advance(self, ask: RolloutAdvance) -> RolloutsTold:
-        """Take an order to its next state and return the book, whatever it says then."""
+    async def advance(self, request: RolloutAdvance) -> RolloutsTold:
+        """Move an order to a state if that is allowed, and return the resulting book."""
         return await self._change(
-            lambda book, _: advance(book, ask.service, ask.number, ask.state, ask.detail)
+            lambda book, _: advance(
+                book, request.service, request.number, request.state, request.detail
+            )
         )
 
     async def record_versions(self, seen: VersionsSeen) -> RolloutsTold:
-        """Note which version serves where that is not known yet."""
+        """Record the versions in force of services that have none, and return the book."""
         return await self._change(lambda book, _: record_versions(book, seen.services))
 
     async def _change(self, change: Change) -> RolloutsTold:
-        """Propose the next book until this change, or none, is needed."""
+        """Apply a change by compare-and-set; retry while other changes are decided first."""
         while True:
-            held = await self._line.read()
-            book = decode_book(held)
-            following = change(book, held.version + 1)
-            if following is book:
-                return RolloutsTold(held.version, book)
-            wanted = StoredConfiguration(held.version + 1, encode_record(following), Line.rollouts)
-            decided = await self._line.replace(wanted)
-            if decided == wanted:
-                self._note_changes(book, following, decided.version)
-                return RolloutsTold(decided.version, following)
-
-    def _note_changes(self, before: RolloutBook, now: RolloutBook, version: int) -> None:
+            current = await self._line.read()
+            book = decode_book(current)
+            updated = change(book, current.version + 1)
+            if updated is book:
+                return RolloutsTold(current.version, book)
+            proposal = StoredConfiguration(
+                current.version + 1, encode_record(updated), Line.rollouts
+            )
+            decided = await self._line.replace(proposal)
+            if decided == proposal:
+                self._log_changes(book, updated, decided.version)
+                return RolloutsTold(decided.version, updated)
+
+    def _log_changes(self, before: RolloutBook, after: RolloutBook, version: int) -> None:
         known = {entry.service: entry for entry in before.services}
-        for entry in now.services:
+        for entry in after.services:
             if known.get(entry.service) == entry:
                 continue
             order = entry.order
