--- a/troutstand/routing/__init__.py
+++ b/troutstand/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Run a routed site: gateways before targets, a scheduler, and keepers of its state."""
+"""Processes of a routed site: gateways, schedulers and the keepers of replicated state."""
--- a/troutstand/routing/main.py
+++ b/troutstand/routing/main.py
@@ -1,4 +1,4 @@
-"""Run one process of a routed site until it is told to stop."""
+"""Run a routing process until it receives a signal to stop."""
 
 from __future__ import annotations
 
@@ -27,25 +27,25 @@
 
     Process = Gateway | RoutingKeeper | RoutingScheduler
 
-# Requests make few cycles; looking for them after every 700 allocations, the
-# default, costs more than it frees.
-_GC_ALLOCATIONS = 50_000
+# Requests create few reference cycles; collecting at the default threshold costs more than
+# it frees.
+_GC_THRESHOLD = 50_000
 
 
 def _list_errors(error: BaseException) -> list[TroutstandError]:
-    return [single for single in flatten_group(error) if isinstance(single, TroutstandError)]
+    return [leaf for leaf in flatten_group(error) if isinstance(leaf, TroutstandError)]
 
 
 def _report_errors(error: BaseException) -> int:
-    """Print every single error and return the exit code."""
+    """Print each error and return the exit code of the first."""
     errors = _list_errors(error)
-    for single in errors:
-        print(f"troutstandd: {single}", file=sys.stderr)
+    for leaf in errors:
+        print(f"troutstandd: {leaf}", file=sys.stderr)
     return describe_code(errors[0].code).exit_code
 
 
 def make_process(settings: RoutingSettings, dialect: Dialect) -> Process:
-    """Make the process of a role; only that role's modules are loaded."""
+    """Create the process for the role in the settings; import only that role's modules."""
     match settings.role:
         case RoutingRole.gateway:
             from troutstand.routing.gateway import Gateway
@@ -62,23 +62,23 @@
 
 
 async def _run(process: Process, path: Path) -> None:
-    stopping = asyncio.Event()
+    stop_event = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stopping.set)
-    install_reload_handler(loop, partial(_reload, process, path))
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop_event.set)
+    install_reload_handler(loop, partial(_reload_settings, process, path))
     await process.start()
     gc.freeze()
-    gc.set_threshold(_GC_ALLOCATIONS)
-    watching = asyncio.create_task(_watch_settings(process, path))
-    await stopping.wait()
-    watching.cancel()
+    gc.set_threshold(_GC_THRESHOLD)
+    poll_task = asyncio.create_task(_poll_settings(process, path))
+    await stop_event.wait()
+    poll_task.cancel()
     ignore_reload()
     await process.stop()
 
 
-def _read_again(process: Process, path: Path) -> RoutingSettings:
-    """Return the settings as they stand now, or those in use where they are wrong."""
+def _load_changed_settings(process: Process, path: Path) -> RoutingSettings:
+    """Load the settings file; return the settings in use if the file is invalid."""
     settings = process.node.settings
     try:
         settings = load_routing_settings(path)
@@ -89,29 +89,29 @@
     return settings
 
 
-def _reload(process: Process, path: Path) -> None:
-    """Take what may change while running: the seeds."""
-    settings = _read_again(process, path)
+def _reload_settings(process: Process, path: Path) -> None:
+    """Apply changed settings; only the seeds take effect while running."""
+    settings = _load_changed_settings(process, path)
     if settings == process.node.settings:
         return
     process.node.settings = settings
     process.node.events.emit("settings_reloaded", seeds=",".join(settings.seeds))
 
 
-_WATCH_S = 3.0
+_SETTINGS_POLL_INTERVAL_S = 3.0
 
 
-async def _watch_settings(process: Process, path: Path) -> None:
-    """Notice settings that change without a signal."""
+async def _poll_settings(process: Process, path: Path) -> None:
+    """Poll the settings file, since it may change without a signal."""
     while True:
-        await asyncio.sleep(_WATCH_S)
-        _reload(process, path)
+        await asyncio.sleep(_SETTINGS_POLL_INTERVAL_S)
+        _reload_settings(process, path)
 
 
 def run_process(path: Path, dialect: Dialect) -> None:
-    """Run the process that a settings file describes, and exit."""
+    """Run the process described by a settings file; exit with an error code on failure."""
     exit_code = 0
-    # What is loaded at the start stays, so that looking for cycles in it is in vain.
+    # Objects loaded at startup live until exit, so collecting them is wasted work.
     gc.disable()
     try:
         settings = load_routing_settings(path)
--- a/troutstand/routing/metrics.py
+++ b/troutstand/routing/metrics.py
@@ -1,4 +1,4 @@
-"""Count and time what a process does, and serve it as text."""
+"""Collect the metrics of a process and serve them in the Prometheus text format."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
     from troutstand.generated.settings import Address
     from troutstand.util.events import Event, EventBus
 
-_LAG_S = 0.25
-_SECONDS = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0)
+_LAG_INTERVAL_S = 0.25
+_BUCKETS_S = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0)
 
 
 class NodeMetrics:
-    """Hold what every process counts: its events, its loop's lag, its configuration."""
+    """Hold the metrics of every process: events, event loop lag, configuration version."""
 
     def __init__(self, events: EventBus) -> None:
         self.registry = CollectorRegistry()
@@ -33,7 +33,7 @@
         self.loop_lag_s = Histogram(
             "troutstand_loop_lag_seconds",
             "Seconds by which the loop woke late",
-            buckets=_SECONDS,
+            buckets=_BUCKETS_S,
             registry=self.registry,
         )
         self.version = Gauge(
@@ -47,24 +47,24 @@
         self.event_count.labels(event.name, str(int(event.code))).inc()
 
     async def measure_loop_lag(self) -> None:
-        """Measure by how much the loop wakes late, until cancelled."""
+        """Measure the lag of the event loop until cancelled."""
         while True:
             before_s = read_clock_s()
-            await asyncio.sleep(_LAG_S)
-            self.loop_lag_s.observe(max(0.0, read_clock_s() - before_s - _LAG_S))
+            await asyncio.sleep(_LAG_INTERVAL_S)
+            self.loop_lag_s.observe(max(0.0, read_clock_s() - before_s - _LAG_INTERVAL_S))
 
     async def serve(self, address: Address) -> web.AppRunner:
-        """Serve the figures at an address."""
+        """Serve the metrics at `/metrics` of an address."""
         app = web.Application()
-        app.router.add_get("/metrics", self._answer)
+        app.router.add_get("/metrics", self._get_metrics)
         return await listen(app, address, "metrics_port")
 
-    async def _answer(self, request: web.Request) -> web.Response:
+    async def _get_metrics(self, request: web.Request) -> web.Response:
         return web.Response(body=generate_latest(self.registry), content_type="text/plain")
 
 
 class GatewayMetrics(NodeMetrics):
-    """Hold what a gateway counts beside."""
+    """Hold the additional metrics of a gateway."""
 
     def __init__(self, events: EventBus) -> None:
         super().__init__(events)
@@ -78,14 +78,14 @@
             "troutstand_first_byte_seconds",
             "Seconds from a request's arrival to the first byte of its answer",
             ["kind", "tier"],
-            buckets=_SECONDS,
+            buckets=_BUCKETS_S,
             registry=self.registry,
         )
         self.wait_s = Histogram(
             "troutstand_waited_seconds",
             "Seconds that a request waited for a target",
             ["kind", "tier"],
-            buckets=_SECONDS,
+            buckets=_BUCKETS_S,
             registry=self.registry,
         )
         self.endings = Counter(
--- a/troutstand/routing/startup.py
+++ b/troutstand/routing/startup.py
@@ -1,4 +1,4 @@
-"""Read the settings of a routed site's process and check them before any port opens."""
+"""Load and validate the settings of a routing process."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
     from collections.abc import Iterator
     from pathlib import Path
 
-_NEEDED = {
+_REQUIRED_FIELDS = {
     RoutingRole.gateway: ("callers", "readiness", "target_list"),
     RoutingRole.scheduler: ("target_list",),
     RoutingRole.keeper: ("data_folder",),
 }
-_MOST_PORT = 65535
-ADDRESS_FORMAT = f"IPv4:PORT or [IPv6]:PORT with a port from 1 to {_MOST_PORT} is accepted"
-_IP_ACCEPTED = "an IPv4 or IPv6 number is accepted"
+_MAX_PORT = 65535
+ADDRESS_FORMAT = f"must be IPv4:PORT or [IPv6]:PORT with a port from 1 to {_MAX_PORT}"
+_IP_FORMAT = "must be an IPv4 or IPv6 address"
 
 
 def _is_ip(text: str) -> bool:
@@ -34,12 +34,12 @@
 
 
 def _is_port(text: str) -> bool:
-    is_number = text.isascii() and text.isdecimal() and len(text) <= len(str(_MOST_PORT))
-    return is_number and 1 <= int(text) <= _MOST_PORT
+    is_number = text.isascii() and text.isdecimal() and len(text) <= len(str(_MAX_PORT))
+    return is_number and 1 <= int(text) <= _MAX_PORT
 
 
 def is_address(text: str) -> bool:
-    """Tell whether a text is IP:PORT."""
+    """Return whether a text is IPv4:PORT or [IPv6]:PORT."""
     ip, _, port = text.rpartition(":")
     if ip.startswith("[") and ip.endswith("]"):
         ip = ip[1:-1]
@@ -48,7 +48,7 @@
 
 
 def _list_addresses(settings: RoutingSettings) -> Iterator[tuple[str, str]]:
-    """Return the fields that hold an address, but for those that are left out."""
+    """Yield the name and value of each address that is set."""
     for field in ("callers", "readiness", "control", "target_list"):
         text = getattr(settings, field)
         if text:
@@ -59,7 +59,7 @@
 
 def _check_addresses(settings: RoutingSettings) -> list[TroutstandError]:
     return [
-        TroutstandError(ResultCode.SETTINGS_INVALID, f"{field} {text!r}, {ADDRESS_FORMAT}")
+        TroutstandError(ResultCode.SETTINGS_INVALID, f"{field} {text!r}: {ADDRESS_FORMAT}")
         for field, text in _list_addresses(settings)
         if not is_address(text)
     ]
@@ -70,7 +70,7 @@
     if settings.bind_ip:
         ips.append(("bind_ip", settings.bind_ip))
     return [
-        TroutstandError(ResultCode.SETTINGS_INVALID, f"{field} {text!r}, {_IP_ACCEPTED}")
+        TroutstandError(ResultCode.SETTINGS_INVALID, f"{field} {text!r}: {_IP_FORMAT}")
         for field, text in ips
         if not _is_ip(text)
     ]
@@ -80,33 +80,34 @@
     role = settings.role
     return [
         TroutstandError(ResultCode.SETTINGS_ROLE, f"{field} is needed for role {role.value}")
-        for field in _NEEDED[role]
+        for field in _REQUIRED_FIELDS[role]
         if not getattr(settings, field)
     ]
 
 
 def check_routing_settings(settings: RoutingSettings) -> None:
-    """Check what the schema cannot say.
+    """Check constraints that the schema cannot express.
 
     Raises
     ------
     ExceptionGroup
-        Of TroutstandError, one for each fault.
+        Of TroutstandError, one for each invalid setting.
     """
     errors = _check_role(settings) + _check_ips(settings) + _check_addresses(settings)
     if errors:
-        raise ExceptionGroup("the settings are wrong", errors)
+        raise ExceptionGroup("invalid settings", errors)
 
 
 def load_routing_settings(path: Path) -> RoutingSettings:
-    """Read, decode and check a settings file.
+    """Load and validate a settings file.
 
     Raises
     ------
     TroutstandError
-        SETTINGS_UNREADABLE or SETTINGS_INVALID.
+        SETTINGS_UNREADABLE if the file cannot be read or is not JSON; SETTINGS_INVALID if it
+        does not match the schema.
     ExceptionGroup
-        Of TroutstandError, one for each fault.
+        Of TroutstandError, one for each invalid setting.
     """
     try:
         settings = msgspec.json.decode(path.read_bytes(), type=RoutingSettings)
