--- a/troutstand/daemon/admin.py
+++ b/troutstand/daemon/admin.py
@@ -59,7 +59,7 @@
         return int(file.read().split()[1]) * _PAGE_BYTES
 
 
-class Admin:
+class AdminApi:
     """Answer operators of one process."""
 
     def __init__(
--- a/troutstand/daemon/callers.py
+++ b/troutstand/daemon/callerapi.py
@@ -10,7 +10,7 @@
 
 from troutstand.core.codes import ResultCode
 from troutstand.core.errors import TroutstandError
-from troutstand.daemon.engines import EngineRequests
+from troutstand.daemon.enginerequests import EngineRequests
 from troutstand.daemon.errorresponse import make_error_response
 from troutstand.daemon.requests import read_attempt, read_body, read_engine_request, read_key
 from troutstand.daemon.servicecalls import ServiceCall, ServiceCallHandler
@@ -44,7 +44,7 @@
     object: str = "list"
 
 
-class Callers:
+class CallerApi:
     """Answer callers, each with its own whole answer or a numbered refusal."""
 
     def __init__(self, entry: EntryProcess) -> None:
--- a/troutstand/daemon/command.py
+++ b/troutstand/daemon/cli.py
@@ -14,8 +14,8 @@
 from troutstand.core.codes import ResultCode, describe_code
 from troutstand.core.errors import TroutstandError, flatten_group
 from troutstand.core.ids import name_process
-from troutstand.daemon.admin import Admin
-from troutstand.daemon.callers import Callers
+from troutstand.daemon.admin import AdminApi
+from troutstand.daemon.callerapi import CallerApi
 from troutstand.daemon.entry import EntryProcess
 from troutstand.daemon.keeper import KeeperProcess
 from troutstand.daemon.startup import load_settings
@@ -41,10 +41,10 @@
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stopping.set)
     await process.start()
-    admin = Admin(process, stopping.set)
+    admin = AdminApi(process, stopping.set)
     runners = [await listen(admin.make_app(), settings.admin, "admin", _WAITS)]
     if isinstance(process, EntryProcess) and settings.callers:
-        callers = Callers(process).make_app()
+        callers = CallerApi(process).make_app()
         runners.append(await listen(callers, settings.callers, "callers", _WAITS))
     # What lives as long as the process need not be looked at by every
     # collection; it showed as pauses between tokens.
--- a/troutstand/daemon/commands.py
+++ b/troutstand/daemon/commandrunner.py
@@ -69,7 +69,7 @@
         return self._kept.get(f"{ask.register}#{ask.nonce}")
 
 
-class Commands:
+class CommandRunner:
     """Carry out what `Command` decides."""
 
     def __init__(self, node: Node, registers: RegisterClient) -> None:
@@ -185,7 +185,12 @@
     """Drive one command from action to event to action."""
 
     def __init__(
-        self, commands: Commands, command: Command, nonce: str, wait_s: float, send_once: SendOnce
+        self,
+        commands: CommandRunner,
+        command: Command,
+        nonce: str,
+        wait_s: float,
+        send_once: SendOnce,
     ) -> None:
         self._commands = commands
         self._command = command
--- a/troutstand/daemon/configuration.py
+++ b/troutstand/daemon/configuration.py
@@ -71,7 +71,7 @@
         """Return the version in force."""
         return self.follower.version
 
-    async def learn(self, message: Changes | Snapshot) -> None:
+    async def apply_changes(self, message: Changes | Snapshot) -> None:
         """Bring decided changes into force and pass them on."""
         async with self._lock:
             before = self.version
@@ -118,7 +118,7 @@
                 return
             if not isinstance(reply, Changes | Snapshot):
                 return
-            await self.learn(reply)
+            await self.apply_changes(reply)
             if self.version == before:
                 return
 
@@ -135,7 +135,7 @@
             data = await self._registers.read(name_version_register(version))
             if data is None:
                 return self.version
-            await self.learn(Changes(version, version, [data]))
+            await self.apply_changes(Changes(version, version, [data]))
 
     async def accept(self, change: Change) -> Version:
         """Accept an operator's edit as the next version, once.
@@ -189,7 +189,7 @@
         return await self._learn_decided(version, data)
 
     async def _learn_decided(self, version: int, data: bytes) -> Event:
-        await self.learn(Changes(version, version, [data]))
+        await self.apply_changes(Changes(version, version, [data]))
         return VersionDecided(decode_record(data, Change).edit_id)
 
     def _make_stale(self, base: int) -> TroutstandError:
--- a/troutstand/daemon/engines.py
+++ b/troutstand/daemon/enginerequests.py
@@ -15,7 +15,7 @@
 from troutstand.core.errors import TroutstandError
 from troutstand.daemon.errorresponse import IDEMPOTENCY_KEY_HEADER, encode_error
 from troutstand.daemon.relay import EngineRelay, assemble_answer
-from troutstand.daemon.tried import MAX_TARGETS
+from troutstand.daemon.triedtargets import MAX_TARGETS
 from troutstand.generated.messages import Finished, Grant, PlacementAsk
 from troutstand.util.clock import MIN_SUSPEND_S, read_clock_s
 
@@ -70,7 +70,7 @@
         deadline_s = read_clock_s() + tier.deadline_s
         attempt = _Try(request, deadline_s, asyncio.current_task())
         if not request.minted:
-            self._exclude(attempt, await self._entry.tried.collect(request.tried_key))
+            self._exclude(attempt, await self._entry.tried_targets.collect(request.tried_key))
         try:
             while True:
                 response = await self._try_once(http, attempt)
@@ -127,7 +127,7 @@
         request = attempt.request
         if request.minted:
             return True
-        known = await self._entry.tried.note(request.tried_key, grant.target)
+        known = await self._entry.tried_targets.note(request.tried_key, grant.target)
         if grant.target not in known:
             return True
         self._entry.placement.finish(Finished(grant.request, grant.target, False))
--- a/troutstand/daemon/entry.py
+++ b/troutstand/daemon/entry.py
@@ -13,14 +13,14 @@
 from troutstand.core.follower import Follower
 from troutstand.core.ids import ProcessId
 from troutstand.core.trace import SchedulerMessage
-from troutstand.daemon.commands import Commands
+from troutstand.daemon.commandrunner import CommandRunner
 from troutstand.daemon.configuration import Configuration
 from troutstand.daemon.leasedscheduler import LeasedScheduler
 from troutstand.daemon.node import Node
 from troutstand.daemon.placement import Placement
 from troutstand.daemon.registers import RegisterClient
 from troutstand.daemon.requests import Directory
-from troutstand.daemon.tried import Tried
+from troutstand.daemon.triedtargets import TriedTargets
 from troutstand.generated.messages import (
     Acknowledged,
     Changes,
@@ -81,8 +81,8 @@
             limits.register_timeout_s,
         )
         self.configuration.on_change = self._use_table
-        self.commands = Commands(self.node, self.registers)
-        self.tried = Tried(self.node)
+        self.command_runner = CommandRunner(self.node, self.registers)
+        self.tried_targets = TriedTargets(self.node)
         self.placement = Placement(self.node.process, self.events, self._deliver)
         self.running_calls = 0
         self._is_waiting = False
@@ -127,7 +127,7 @@
 
     def count_open(self) -> int:
         """Return how many calls and commands are in progress."""
-        return max(self.running_calls, self.commands.running_count)
+        return max(self.running_calls, self.command_runner.running_count)
 
     def find_backend(self, target: str) -> Backend | None:
         """Return the adapter of a target."""
@@ -156,9 +156,9 @@
                 self.scheduling.handle_release(message)
                 return Acknowledged()
             case OutcomeAsk():
-                return self.commands.handle_ask(message)
+                return self.command_runner.handle_ask(message)
             case TriedAsk():
-                return self.tried.handle_ask(message)
+                return self.tried_targets.handle_ask(message)
             case ChangesAsk():
                 return self.follower.answer(message)
             case Changes() | Snapshot():
@@ -168,7 +168,7 @@
 
     async def _learn(self, message: Changes | Snapshot) -> PeerMessage:
         if self.node.state is not ProcessState.starting:
-            await self.configuration.learn(message)
+            await self.configuration.apply_changes(message)
         return Acknowledged()
 
     def _deliver(self, scheduler: ProcessId, message: PeerMessage) -> bool:
--- a/troutstand/daemon/keeper.py
+++ b/troutstand/daemon/keeper.py
@@ -173,7 +173,7 @@
         self.voter.drop_ended_holders(self.node.peers.is_refused)
 
     async def _learn(self, message: Changes | Snapshot) -> PeerMessage:
-        await self.configuration.learn(message)
+        await self.configuration.apply_changes(message)
         return Acknowledged()
 
     async def _persist_change(self, version: int, data: bytes) -> None:
--- a/troutstand/daemon/main.py
+++ b/troutstand/daemon/main.py
@@ -8,7 +8,7 @@
 def run() -> None:
     """Run the command line."""
     ignore_reload()
-    from troutstand.daemon.command import app
+    from troutstand.daemon.cli import app
 
     app()
 
--- a/troutstand/daemon/servicecalls.py
+++ b/troutstand/daemon/servicecalls.py
@@ -97,7 +97,7 @@
         self._entry.events.emit("command_received", request, key=call.command_key)
         started_s = read_clock_s()
         try:
-            outcome = await self._entry.commands.run(
+            outcome = await self._entry.command_runner.run(
                 call.command_key,
                 call.compute_digest(),
                 call.is_key_generated,
--- a/troutstand/daemon/tried.py
+++ b/troutstand/daemon/triedtargets.py
@@ -25,7 +25,7 @@
 _ASK_S = 0.25
 
 
-class Tried:
+class TriedTargets:
     """Keep the targets of keyed requests."""
 
     def __init__(self, node: Node) -> None:
--- a/troutstand/tests/steps/begun.py
+++ b/troutstand/tests/steps/begun.py
@@ -14,7 +14,7 @@
 from troutstand.core.codes import ResultCode
 from troutstand.core.errors import TroutstandError
 from troutstand.core.ids import ProcessId
-from troutstand.daemon.callers import Callers
+from troutstand.daemon.callerapi import CallerApi
 from troutstand.generated.routing import RoutingRole
 from troutstand.testing.oddstreams import EVENTS, PART, Oddity, OddStreams
 from troutstand.testing.rawcaller import RawAnswer, call_raw
@@ -164,7 +164,7 @@
 @given("an application for callers whose handler begins an answer and fails with {failure}")
 def make_failing(context: Context, failure: str) -> None:
     context.entry = _make_entry()
-    context.app = Callers(cast("EntryProcess", context.entry)).make_app()
+    context.app = CallerApi(cast("EntryProcess", context.entry)).make_app()
 
     async def begin_and_fail(request: web.Request) -> web.StreamResponse:
         response = web.StreamResponse()
