--- a/troutstand/routing/keeper.py
+++ b/troutstand/routing/keeper.py
@@ -63,7 +63,7 @@
 _REGISTER_TIMEOUT_S = 2.5
 _LINE_TIMEOUT_S = 2.5
 _STALL_S = 1.0
-# Four contact periods.
+# Tolerates lost contacts, since it spans four contact periods.
 _VOTER_CONTACT_MAX_AGE_S = 1.2
 _SNAPSHOT_BYTES = 8 << 20
 _DISK_ID_BYTES = 12
@@ -120,15 +120,17 @@
             self.node.random.getrandbits(32),
         )
         self.registers.update_keepers(self.acceptor.keepers)
-        self.line = self._make_line(Line.configuration)
-        self.rollouts = RolloutStore(self._make_line(Line.rollouts), self.node.events)
+        self.configuration_line = self._make_line_client(Line.configuration)
+        self.rollouts = RolloutStore(self._make_line_client(Line.rollouts), self.node.events)
         self.replacement = KeeperReplacement(self)
         self._compressed_configuration = (0, b"")
         # Peers whose last configuration could not be decompressed.
         self._corrupt_peers: set[ProcessId] = set()
-        self._control = ControlServer(self.line, self.rollouts, dialect, self.node.events)
+        self._control = ControlServer(
+            self.configuration_line, self.rollouts, dialect, self.node.events
+        )
 
-    def _make_line(self, line: Line) -> LineClient:
+    def _make_line_client(self, line: Line) -> LineClient:
         return LineClient(
             self.ask_keeper,
             self.registers,
@@ -356,9 +358,9 @@
         if reply.version:
             await self._install_decided(StoredConfiguration(reply.version, content))
         if reply.rollouts is not None:
-            book = encode_record(reply.rollouts)
+            data = encode_record(reply.rollouts)
             await self._install_decided(
-                StoredConfiguration(reply.rollouts_version, book, Line.rollouts)
+                StoredConfiguration(reply.rollouts_version, data, Line.rollouts)
             )
         if reply.contact.epoch > self.acceptor.epoch:
             await self.replacement.fetch(process)
--- a/troutstand/routing/scheduler.py
+++ b/troutstand/routing/scheduler.py
@@ -246,7 +246,7 @@
         self._gateways.mark_usage_counted(peer)
 
     def _release_usage(self, peer: ProcessId) -> None:
-        """Subtract the usage of the limits that a leaving gateway takes along."""
+        """Subtract the share of the usage of a gateway that detaches."""
         share = self._gateways.release_usage(peer)
         if share:
             self.quotas.release_share(share)
