--- a/troutstand/daemon/admin.py
+++ b/troutstand/daemon/admin.py
@@ -1,4 +1,4 @@
-"""Serve operators' calls."""
+"""Serve the HTTP API for operators of a process."""
 
 from __future__ import annotations
 
@@ -39,17 +39,17 @@
     Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
 T = TypeVar("T")
-_BEARER = "Bearer "
+_BEARER_PREFIX = "Bearer "
 _PAGE_BYTES = 4096
 
 
-def _answer(report: msgspec.Struct) -> web.Response:
+def _make_response(report: msgspec.Struct) -> web.Response:
     return web.Response(body=msgspec.json.encode(report), content_type="application/json")
 
 
-async def _read(request: web.Request, kind: type[T]) -> T:
+async def _decode_body(request: web.Request, body_type: type[T]) -> T:
     try:
-        return msgspec.json.decode(await request.read(), type=kind)
+        return msgspec.json.decode(await request.read(), type=body_type)
     except msgspec.DecodeError as error:
         raise TroutstandError(ResultCode.TABLE_INVALID, str(error)) from error
 
@@ -60,30 +60,30 @@
 
 
 class AdminApi:
-    """Answer operators of one process."""
+    """Serve the operators' HTTP API of one process."""
 
     def __init__(
         self,
         process: EntryProcess | KeeperProcess,
-        drain: Callable[[], None],
+        request_drain: Callable[[], None],
     ) -> None:
         self._process = process
         self._node = process.node
-        self._drain = drain
+        self._request_drain = request_drain
 
     def make_app(self) -> web.Application:
-        """Make the application that listens for operators."""
+        """Return the aiohttp application with the API's routes."""
         limit = self._node.settings.limits.body_bytes
         app = web.Application(middlewares=[self._guard], client_max_size=limit)
         router = app.router
-        router.add_get("/admin/status", self._tell_status)
-        router.add_get("/admin/table", self._tell_table)
+        router.add_get("/admin/status", self._get_status)
+        router.add_get("/admin/table", self._get_table)
         router.add_post("/admin/table/accept", self._accept_edit)
-        router.add_get("/admin/events/{request}", self._tell_events)
-        router.add_get("/admin/targets", self._tell_targets)
+        router.add_get("/admin/events/{request}", self._get_events)
+        router.add_get("/admin/targets", self._get_targets)
         router.add_post("/admin/drain", self._start_drain)
-        router.add_get("/admin/drain", self._tell_drain)
-        router.add_post("/admin/keepers/form", self._form_keepers)
+        router.add_get("/admin/drain", self._get_drain)
+        router.add_post("/admin/keepers/form", self._make_keeper_set)
         router.add_post("/admin/keepers/replace", self._replace_keeper)
         return app
 
@@ -94,14 +94,14 @@
             return await handler(request)
         except* TroutstandError as group:
             errors = [e for e in flatten_group(group) if isinstance(e, TroutstandError)]
-            refusal = make_error_response(_join_errors(errors))
+            response = make_error_response(_join_errors(errors))
         except* web.HTTPException as group:
             error = TroutstandError(ResultCode.NOT_FOUND, str(group.exceptions[0]))
-            refusal = make_error_response(error)
-        return refusal
+            response = make_error_response(error)
+        return response
 
     def _check_token(self, request: web.Request) -> None:
-        token = request.headers.get(hdrs.AUTHORIZATION, "").removeprefix(_BEARER)
+        token = request.headers.get(hdrs.AUTHORIZATION, "").removeprefix(_BEARER_PREFIX)
         digest = hashlib.sha256(token.encode()).hexdigest()
         if not hmac.compare_digest(digest, self._node.settings.operator_token_sha256):
             self._node.events.emit("operator_refused", code=ResultCode.OPERATOR_TOKEN)
@@ -109,7 +109,7 @@
 
     # Status
 
-    async def _tell_status(self, _: web.Request) -> web.Response:
+    async def _get_status(self, _: web.Request) -> web.Response:
         process, node = self._process, self._node
         version = process.configuration.version
         traffic = node.peers.traffic
@@ -123,7 +123,7 @@
             sent_messages=traffic.messages,
             sent_bytes=traffic.bytes,
             uptime_s=read_clock_s() - node.started_s,
-            processor_s=_read_processor_s(),
+            processor_s=_read_cpu_s(),
             resident_bytes=_read_resident_bytes(),
             hosts=self._list_hosts(version),
         )
@@ -136,39 +136,44 @@
             report.disk_id = process.acceptor.identity.disk_id
             report.records = process.storage.sequence
             report.syncs = process.storage.sync_count
-        return _answer(report)
+        return _make_response(report)
 
     def _list_hosts(self, version: int) -> list[HostReport]:
         hosts = []
-        heard = self._node.peers.heard
-        newest = max([version, *(item.heartbeat.version for item in heard.values())])
+        latest_heartbeats = self._node.peers.heard
+        newest = max(
+            [version, *(latest.heartbeat.version for latest in latest_heartbeats.values())]
+        )
         for peer in sorted(self._node.peers.known):
-            item = heard.get(peer)
-            if item is None:
+            latest = latest_heartbeats.get(peer)
+            if latest is None:
                 hosts.append(HostReport(peer, "unheard", 0, None, is_behind=True))
                 continue
-            beat = item.heartbeat
+            heartbeat = latest.heartbeat
             hosts.append(
                 HostReport(
                     process=peer,
-                    state=beat.state.value,
-                    version=beat.version,
-                    heard_s=read_clock_s() - item.at_s,
-                    scheduling=beat.scheduling,
-                    is_behind=beat.version < newest,
+                    state=heartbeat.state.value,
+                    version=heartbeat.version,
+                    heard_s=read_clock_s() - latest.at_s,
+                    scheduling=heartbeat.scheduling,
+                    is_behind=heartbeat.version < newest,
                 )
             )
         return hosts
 
-    async def _tell_events(self, request: web.Request) -> web.Response:
+    async def _get_events(self, request: web.Request) -> web.Response:
         events = self._node.events.find_request(request.match_info["request"])
-        return _answer(EventReport([format_event(event) for event in events]))
+        return _make_response(EventReport([format_event(event) for event in events]))
 
-    async def _tell_targets(self, _: web.Request) -> web.Response:
+    async def _get_targets(self, _: web.Request) -> web.Response:
         process = self._process
         scheduler = process.scheduling.scheduler if isinstance(process, EntryProcess) else None
         if scheduler is None:
-            raise TroutstandError(ResultCode.NO_SCHEDULER, "ask the scheduler's own process")
+            raise TroutstandError(
+                ResultCode.NO_SCHEDULER,
+                "this process is not the scheduler; ask the scheduler's process",
+            )
         targets = [
             TargetReport(
                 name=name,
@@ -182,56 +187,59 @@
             )
             for name, target in sorted(scheduler.targets.items())
         ]
-        return _answer(
+        return _make_response(
             TargetsReport(
                 scheduler.failure_domain, scheduler.waiting_count, scheduler.inversions, targets
             )
         )
 
-    # The table
+    # Table
 
-    async def _tell_table(self, _: web.Request) -> web.Response:
+    async def _get_table(self, _: web.Request) -> web.Response:
         table = self._process.configuration.follower.table
-        return _answer(TableReport(table.version, list(table.rows.values())))
+        return _make_response(TableReport(table.version, list(table.rows.values())))
 
     async def _accept_edit(self, request: web.Request) -> web.Response:
-        call = await _read(request, AcceptCall)
+        call = await _decode_body(request, AcceptCall)
         version = await self._process.configuration.accept(call.change)
-        return _answer(AcceptReport(version, call.change.edit_id))
+        return _make_response(AcceptReport(version, call.change.edit_id))
 
     # Drain and keepers
 
     async def _start_drain(self, _: web.Request) -> web.Response:
-        self._drain()
-        return self._describe_drain()
+        self._request_drain()
+        return self._make_drain_response()
 
-    async def _tell_drain(self, _: web.Request) -> web.Response:
-        return self._describe_drain()
+    async def _get_drain(self, _: web.Request) -> web.Response:
+        return self._make_drain_response()
 
-    def _describe_drain(self) -> web.Response:
+    def _make_drain_response(self) -> web.Response:
         process = self._process
         open_calls = process.count_open() if isinstance(process, EntryProcess) else 0
-        return _answer(DrainReport(self._node.state.value, open_calls))
+        return _make_response(DrainReport(self._node.state.value, open_calls))
 
-    async def _form_keepers(self, _: web.Request) -> web.Response:
-        return _describe_keepers(await self._require_keeper().membership.make_initial_set())
+    async def _make_keeper_set(self, _: web.Request) -> web.Response:
+        return _make_keepers_response(await self._require_keeper().membership.make_initial_set())
 
     async def _replace_keeper(self, request: web.Request) -> web.Response:
-        call = await _read(request, ReplaceCall)
-        return _describe_keepers(await self._require_keeper().membership.replace(call.process))
+        call = await _decode_body(request, ReplaceCall)
+        return _make_keepers_response(await self._require_keeper().membership.replace(call.process))
 
     def _require_keeper(self) -> KeeperProcess:
         if not isinstance(self._process, KeeperProcess):
-            raise TroutstandError(ResultCode.KEEPER_CHANGE_REFUSED, "ask a keeper process")
+            raise TroutstandError(
+                ResultCode.KEEPER_CHANGE_REFUSED,
+                "this process is not a keeper; ask a keeper process",
+            )
         return self._process
 
 
-def _describe_keepers(keepers: KeeperSet) -> web.Response:
+def _make_keepers_response(keepers: KeeperSet) -> web.Response:
     members = [f"{m.process} {m.state.value} {m.disk_id}" for m in keepers.members]
-    return _answer(KeepersReport(keepers.epoch, members))
+    return _make_response(KeepersReport(keepers.epoch, members))
 
 
-def _read_processor_s() -> float:
+def _read_cpu_s() -> float:
     usage = resource.getrusage(resource.RUSAGE_SELF)
     return usage.ru_utime + usage.ru_stime
 
--- a/troutstand/daemon/callerapi.py
+++ b/troutstand/daemon/callerapi.py
@@ -1,4 +1,4 @@
-"""Serve the callers' HTTP paths."""
+"""Serve the HTTP API for callers: model requests, service calls and readiness."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
 MAX_HEADER_BYTES = 8190
-_RETRY_S = 1.0
-_OCTETS = "application/octet-stream"
+_RETRY_AFTER_S = 1.0
+_DEFAULT_CONTENT_TYPE = "application/octet-stream"
 
 
 class ListedModel(msgspec.Struct):
-    """Carry one model of the list."""
+    """Describe one model in the response of /v1/models."""
 
     id: str
     object: str = "model"
@@ -38,52 +38,52 @@
 
 
 class ModelList(msgspec.Struct):
-    """Carry the list of models."""
+    """Carry the response body of /v1/models."""
 
     data: list[ListedModel]
     object: str = "list"
 
 
 class CallerApi:
-    """Answer callers, each with its own whole answer or a numbered refusal."""
+    """Serve callers and turn every failure into an error response with a result code."""
 
     def __init__(self, entry: EntryProcess) -> None:
         self._entry = entry
-        self._engines = EngineRequests(entry)
-        self._services = ServiceCallHandler(entry)
+        self._engine_requests = EngineRequests(entry)
+        self._service_calls = ServiceCallHandler(entry)
 
     def make_app(self) -> web.Application:
-        """Make the application that listens for callers."""
+        """Return the aiohttp application with the API's routes."""
         limit = self._entry.settings.limits.body_bytes
         app = web.Application(middlewares=[self._guard], client_max_size=limit)
         app.router.add_post("/v1/chat/completions", self._serve_engine)
         app.router.add_post("/v1/completions", self._serve_engine)
         app.router.add_get("/v1/models", self._list_models)
         app.router.add_route("*", "/services/{service}/{path:.*}", self._serve_service)
-        app.router.add_get("/healthz", self._tell_health)
+        app.router.add_get("/healthz", self._get_health)
         return app
 
     @web.middleware
     async def _guard(self, request: web.Request, handler: Handler) -> web.StreamResponse:
-        """Count a call and turn every failure into a numbered refusal."""
+        """Count the running call and turn every failure into an error response."""
         self._entry.running_calls += 1
         try:
             return await handler(request)
         except TroutstandError as error:
-            return self._refuse(request, error)
+            return self._respond_to_error(request, error)
         except web.HTTPException as error:
-            return self._refuse(request, _translate_http(error))
+            return self._respond_to_error(request, _convert_http_error(error))
         except ConnectionError:
             raise
-        except Exception as error:  # a fault of ours must not look like an answer
+        except Exception as error:  # unexpected errors get a result code too
             internal = TroutstandError(ResultCode.INTERNAL, type(error).__name__)
             self._entry.events.emit("internal_error", code=internal.code, detail=repr(error))
-            return self._refuse(request, internal)
+            return self._respond_to_error(request, internal)
         finally:
             self._entry.running_calls -= 1
 
-    def _refuse(self, request: web.Request, error: TroutstandError) -> web.Response:
-        """Refuse, or break off: amid a begun answer a refusal would be read as its body."""
+    def _respond_to_error(self, request: web.Request, error: TroutstandError) -> web.Response:
+        """Log and return an error response, or abort a response that has already started."""
         if has_response_started(request):
             self._entry.events.emit(
                 "answer_broken_off",
@@ -91,13 +91,13 @@
                 error.code,
                 detail=error.detail,
             )
-            # The server library writes nothing to a connection that closes.
+            # aiohttp writes nothing more to the closing connection.
             abort_response(request)
         else:
-            self._note_refusal(request, error)
+            self._log_refusal(request, error)
         return make_error_response(error, request.headers.get("Idempotency-Key", "")[:128])
 
-    def _note_refusal(self, request: web.Request, error: TroutstandError) -> None:
+    def _log_refusal(self, request: web.Request, error: TroutstandError) -> None:
         self._entry.events.emit(
             "refused",
             request.get("request_id", ""),
@@ -112,25 +112,25 @@
             case ProcessState.serving:
                 return self._entry.directory.check_caller(request)
             case ProcessState.starting:
-                raise TroutstandError(ResultCode.STARTING, retry_after_s=_RETRY_S)
+                raise TroutstandError(ResultCode.STARTING, retry_after_s=_RETRY_AFTER_S)
             case _:
-                raise TroutstandError(ResultCode.DRAINING, retry_after_s=_RETRY_S)
+                raise TroutstandError(ResultCode.DRAINING, retry_after_s=_RETRY_AFTER_S)
 
     async def _serve_engine(self, request: web.Request) -> web.StreamResponse:
         caller = self._admit(request)
         body = await read_body(request, self._entry.settings.limits)
-        checked = read_engine_request(request, body, caller, self._entry.directory)
-        request["request_id"], request["tier"] = checked.request, caller.tier.name
+        parsed = read_engine_request(request, body, caller, self._entry.directory)
+        request["request_id"], request["tier"] = parsed.request, caller.tier.name
         self._entry.events.emit(
             "request_received",
-            checked.request,
-            key=checked.key,
+            parsed.request,
+            key=parsed.key,
             workspace=caller.workspace.name,
             tier=caller.tier.name,
-            model=checked.model,
-            prompt_tokens=checked.prompt_tokens,
+            model=parsed.model,
+            prompt_tokens=parsed.prompt_tokens,
         )
-        return await self._engines.serve(request, checked)
+        return await self._engine_requests.serve(request, parsed)
 
     async def _serve_service(self, request: web.Request) -> web.StreamResponse:
         caller = self._admit(request)
@@ -139,20 +139,20 @@
         if service is None:
             raise TroutstandError(ResultCode.SERVICE_UNKNOWN, f"service {name[:64]!r}")
         body = await read_body(request, self._entry.settings.limits)
-        key, minted = read_key(request)
+        key, is_key_generated = read_key(request)
         call = ServiceCall(
             key=key,
-            is_key_generated=minted,
+            is_key_generated=is_key_generated,
             caller=caller,
             service=service,
             method=request.method,
             path="/" + request.match_info["path"],
             body=body,
-            content_type=request.headers.get("Content-Type", _OCTETS),
-            attempt=1 if minted else read_attempt(request),
+            content_type=request.headers.get("Content-Type", _DEFAULT_CONTENT_TYPE),
+            attempt=1 if is_key_generated else read_attempt(request),
         )
         request["tier"] = caller.tier.name
-        return await self._services.serve(call)
+        return await self._service_calls.serve(call)
 
     async def _list_models(self, request: web.Request) -> web.StreamResponse:
         self._admit(request)
@@ -161,15 +161,15 @@
             body=msgspec.json.encode(ModelList(listed)), content_type="application/json"
         )
 
-    async def _tell_health(self, _: web.Request) -> web.StreamResponse:
-        """Tell the balancer whether to send callers here."""
+    async def _get_health(self, _: web.Request) -> web.StreamResponse:
+        """Report to the load balancer whether this host accepts callers."""
         state = self._entry.node.state
         has_scheduler = self._entry.placement.scheduler is not None
         is_ready = state is ProcessState.serving and has_scheduler
         return web.Response(status=200 if is_ready else 503, text=state.value)
 
 
-def _translate_http(error: web.HTTPException) -> TroutstandError:
+def _convert_http_error(error: web.HTTPException) -> TroutstandError:
     if error.status == web.HTTPRequestEntityTooLarge.status_code:
         return TroutstandError(ResultCode.BODY_TOO_LARGE)
     if error.status in (404, 405):
--- a/troutstand/daemon/cli.py
+++ b/troutstand/daemon/cli.py
@@ -1,4 +1,4 @@
-"""Read the command line of a process and run it from its settings file."""
+"""Parse the command line of a process and run it from its settings file."""
 
 from __future__ import annotations
 
@@ -28,9 +28,9 @@
 app = App(name="troutstandd", help="Run one process of troutstand.")
 
 _DISK_ID_BYTES = 12
-_WAITS = ServerTimeouts(keep_alive_s=3630.0, shutdown_s=1.0)
-# Requests make few cycles; looking for them after every 700 allocations, the
-# default, costs more than it frees.
+_SERVER_TIMEOUTS = ServerTimeouts(keep_alive_s=3630.0, shutdown_s=1.0)
+# Requests create few reference cycles, so collecting at Python's default
+# threshold costs more than it frees.
 GC_ALLOCATIONS = 50_000
 
 
@@ -38,29 +38,30 @@
     process = EntryProcess(settings) if settings.role is Role.entry else KeeperProcess(settings)
     stopping = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stopping.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stopping.set)
     await process.start()
     admin = AdminApi(process, stopping.set)
-    runners = [await listen(admin.make_app(), settings.admin, "admin", _WAITS)]
+    runners = [await listen(admin.make_app(), settings.admin, "admin", _SERVER_TIMEOUTS)]
     if isinstance(process, EntryProcess) and settings.callers:
         callers = CallerApi(process).make_app()
-        runners.append(await listen(callers, settings.callers, "callers", _WAITS))
-    # What lives as long as the process need not be looked at by every
-    # collection; it showed as pauses between tokens.
+        runners.append(await listen(callers, settings.callers, "callers", _SERVER_TIMEOUTS))
+    # Exclude long-lived objects from collections, which would delay token streams.
     gc.freeze()
     gc.set_threshold(GC_ALLOCATIONS)
     await stopping.wait()
-    whole = await process.drain() if isinstance(process, EntryProcess) else True
+    is_drained = await process.drain() if isinstance(process, EntryProcess) else True
     for runner in runners:
         await runner.cleanup()
     await process.stop()
-    return 0 if whole else describe_code(ResultCode.DRAINING).exit_code
+    return 0 if is_drained else describe_code(ResultCode.DRAINING).exit_code
 
 
 def _format_data_folder(settings: Settings) -> None:
     if settings.data_folder is None:
-        raise TroutstandError(ResultCode.SETTINGS_ROLE, "data_folder is needed to format it")
+        raise TroutstandError(
+            ResultCode.SETTINGS_ROLE, "--format requires data_folder in the settings"
+        )
     process = name_process(settings.host, settings.role.value)
     disk_id = secrets.token_hex(_DISK_ID_BYTES)
     format_folder(Path(settings.data_folder), StoredIdentity(settings.site, process, disk_id))
@@ -72,8 +73,8 @@
         read_identity(Path(settings.data_folder))
 
 
-def _report(error: BaseException) -> int:
-    """Print every single error and return the exit code."""
+def _print_errors(error: BaseException) -> int:
+    """Print every error of a group and return the exit code of the first."""
     errors = [e for e in flatten_group(error) if isinstance(e, TroutstandError)]
     for single in errors:
         print(f"troutstandd: {single}", file=sys.stderr)
@@ -81,7 +82,7 @@
 
 
 def start_routed(settings: Path, check: bool) -> None:
-    """Run, or only check the settings of, a process of a routed site."""
+    """Run a process of a routed site, or only check its settings."""
     from troutstand.routing.dialect import Dialect
     from troutstand.routing.main import run_process
     from troutstand.routing.startup import load_routing_settings
@@ -94,7 +95,7 @@
         load_routing_settings(settings)
         print(f"{settings.name}: in order")
     except* TroutstandError as group:
-        exit_code = _report(group)
+        exit_code = _print_errors(group)
     sys.exit(exit_code)
 
 
@@ -111,10 +112,10 @@
     check
         Only check the settings and the data folder.
     format
-        Only make the data folder of a new disk.
+        Only create the data folder of a new disk.
     routed
-        The settings are those of a routed site's process; its keepers make their
-        folders themselves.
+        The settings file is that of a routed site's process; its keepers create
+        their data folders themselves.
     """
     if routed:
         start_routed(settings, check)
@@ -131,5 +132,5 @@
             with asyncio.Runner(loop_factory=ClockLoop) as runner:
                 exit_code = runner.run(_run_process(loaded))
     except* TroutstandError as group:
-        exit_code = _report(group)
+        exit_code = _print_errors(group)
     sys.exit(exit_code)
