--- a/troutstand/daemon/configuration.py
+++ b/troutstand/daemon/configuration.py
@@ -1,4 +1,4 @@
-"""Bring accepted table versions into force, and accept operators' edits."""
+"""Replicate accepted table versions to a process and accept operators' edits."""
 
 from __future__ import annotations
 
@@ -32,17 +32,17 @@
     from troutstand.daemon.registers import RegisterClient
     from troutstand.util.events import EventBus
 
-Persist = Callable[[int, bytes], Awaitable[None]]
+PersistChange = Callable[[int, bytes], Awaitable[None]]
 PersistTable = Callable[[int, bytes], Awaitable[None]]
 
 
 class Configuration:
-    """Move one process along the line of table versions.
+    """Keep one process's table at the latest decided version.
 
     Parameters
     ----------
-    persist
-        Makes a change durable before it is in force; a diskless process has none.
+    persist_change
+        Makes a change durable before it is applied; None in a process without a disk.
     """
 
     def __init__(
@@ -52,7 +52,7 @@
         registers: RegisterClient,
         events: EventBus,
         ask_timeout_s: float,
-        persist: Persist | None = None,
+        persist_change: PersistChange | None = None,
         persist_table: PersistTable | None = None,
     ) -> None:
         self.follower = follower
@@ -61,25 +61,25 @@
         self._registers = registers
         self._events = events
         self._ask_timeout_s = ask_timeout_s
-        self._persist = persist
+        self._persist_change = persist_change
         self._persist_table = persist_table
         self._lock = asyncio.Lock()
-        self._told: dict[ProcessId, int] = {}
+        self._sent_versions: dict[ProcessId, int] = {}
 
     @property
     def version(self) -> Version:
-        """Return the version in force."""
+        """Return the version of the applied table."""
         return self.follower.version
 
     async def apply_changes(self, message: Changes | Snapshot) -> None:
-        """Bring decided changes into force and pass them on."""
+        """Apply decided changes and forward them to peers that are behind."""
         async with self._lock:
             before = self.version
             match message:
                 case Changes():
                     for version, data in self.follower.list_unapplied(message):
-                        if self._persist:
-                            await self._persist(version, data)
+                        if self._persist_change:
+                            await self._persist_change(version, data)
                         self.follower.apply(version, data)
                 case Snapshot(version, table):
                     if version > self.version:
@@ -89,32 +89,32 @@
         if self.version > before:
             self._events.emit("table_in_force", version=self.version, before=before)
             self.on_change()
-            self._pass_on(before)
+            self._forward_changes(before)
 
-    def _pass_on(self, before: int) -> None:
-        """Send news to the peers that should know the version before it.
+    def _forward_changes(self, before: int) -> None:
+        """Send the changes since a version to the peers that are known to have it.
 
-        Heartbeats lag behind what was sent since; a peer that lost a message
-        hears of the newer version by the next heartbeat and asks.
+        A peer that misses the message pulls the changes after the next heartbeat.
         """
         behind = []
-        for process, heard in self._peers.heard.items():
-            known = max(heard.heartbeat.version, self._told.get(process, 0))
-            if before <= known < self.version:
+        for process, latest in self._peers.heard.items():
+            # Heartbeats can be older than the version sent to the peer last.
+            known_version = max(latest.heartbeat.version, self._sent_versions.get(process, 0))
+            if before <= known_version < self.version:
                 behind.append(process)
-                self._told[process] = self.version
+                self._sent_versions[process] = self.version
         if behind:
             self._peers.broadcast(self.follower.answer(ChangesAsk(before)), behind)
 
     async def pull(self, process: ProcessId) -> None:
-        """Fetch what a peer has and this process does not."""
+        """Fetch and apply the changes that a peer has and this process lacks."""
         while True:
             before = self.version
             ask = ChangesAsk(before)
             try:
                 reply = await self._peers.ask(process, ask, self._ask_timeout_s)
             except TroutstandError:
-                # Its next heartbeat tells of the newer version again.
+                # The peer's next heartbeat triggers another pull.
                 return
             if not isinstance(reply, Changes | Snapshot):
                 return
@@ -123,7 +123,7 @@
                 return
 
     async def catch_up(self) -> Version:
-        """Read from a majority of keepers until nothing newer is decided.
+        """Apply versions read from a majority of keepers until none newer is decided.
 
         Raises
         ------
@@ -138,15 +138,15 @@
             await self.apply_changes(Changes(version, version, [data]))
 
     async def accept(self, change: Change) -> Version:
-        """Accept an operator's edit as the next version, once.
+        """Accept an operator's edit as the next version; an edit sent again is accepted once.
 
         Raises
         ------
         TroutstandError
-            TABLE_STALE with what changed underneath; TABLE_UNKNOWN where no
-            majority answered, so that the edit should be sent again.
+            TABLE_STALE with the changes made since the edit's base version;
+            TABLE_UNKNOWN if no majority answered and the edit should be sent again.
         ExceptionGroup
-            Of TABLE_INVALID.
+            TABLE_INVALID errors.
         """
         known = self.follower.table.find_edit(change.edit_id)
         edit = Edit(change.edit_id, change.base, self.version, known)
@@ -154,50 +154,50 @@
         while True:
             match action:
                 case ReadVersion(version):
-                    event = await self._read(version)
+                    event = await self._read_version(version)
                 case ProposeVersion(version):
                     self.follower.table.preview(change)
-                    event = await self._propose(version, change)
+                    event = await self._propose_version(version, change)
                 case EditAccepted(version):
                     self._events.emit("table_accepted", version=version, edit=change.edit_id)
                     return Version(version)
                 case EditStale():
-                    raise self._make_stale(change.base)
+                    raise self._make_stale_error(change.base)
                 case EditOutcomeUnknown():
                     detail = f"edit {change.edit_id}: no majority answered; send it again"
                     raise TroutstandError(ResultCode.TABLE_UNKNOWN, detail)
             action = edit.receive(event)
 
-    async def _read(self, version: int) -> Event:
+    async def _read_version(self, version: int) -> Event:
         try:
             data = await self._registers.read(name_version_register(version))
         except TroutstandError:
-            # The operator gets an error if the edit fails for want of it.
+            # If the edit fails because of this, the operator gets an error.
             return QuorumUnreachable()
         if data is None:
             return VersionBlank()
-        return await self._learn_decided(version, data)
+        return await self._apply_decided(version, data)
 
-    async def _propose(self, version: int, change: Change) -> Event:
+    async def _propose_version(self, version: int, change: Change) -> Event:
         try:
             data = await self._registers.decide(
                 name_version_register(version), encode_record(change)
             )
         except TroutstandError:
-            # The operator gets an error if the edit fails for want of it.
+            # If the edit fails because of this, the operator gets an error.
             return QuorumUnreachable()
-        return await self._learn_decided(version, data)
+        return await self._apply_decided(version, data)
 
-    async def _learn_decided(self, version: int, data: bytes) -> Event:
+    async def _apply_decided(self, version: int, data: bytes) -> Event:
         await self.apply_changes(Changes(version, version, [data]))
         return VersionDecided(decode_record(data, Change).edit_id)
 
-    def _make_stale(self, base: int) -> TroutstandError:
-        lines = [f"edited from version {base}, the table is at {self.version}"]
+    def _make_stale_error(self, base: int) -> TroutstandError:
+        lines = [f"the edit is based on version {base}; the table is at version {self.version}"]
         for version in range(base + 1, self.version + 1):
             data = self.follower.get_change(version)
             if data is None:
-                lines.append(f"version {version}: no longer kept as a change")
+                lines.append(f"version {version}: its change is no longer stored")
                 continue
             lines.extend(_describe_change(version, decode_record(data, Change)))
         return TroutstandError(ResultCode.TABLE_STALE, "\n".join(lines))
@@ -205,8 +205,8 @@
 
 def _describe_change(version: int, change: Change) -> list[str]:
     changed = [f"version {version}: edit {change.edit_id}: set {row}" for row in change.upserts]
-    gone = [
+    deleted = [
         f"version {version}: edit {change.edit_id}: delete {key.kind.value} {key.name}"
         for key in change.deletes
     ]
-    return changed + gone
+    return changed + deleted
