--- a/troutstand/daemon/entry.py
+++ b/troutstand/daemon/entry.py
@@ -1,4 +1,4 @@
-"""Run the entry role: serve callers, and take turns as the domain's scheduler."""
+"""Run an entry process: serve callers, and schedule while it holds the scheduler lease."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
 
 
 class EntryProcess:
-    """Serve callers of one host."""
+    """Serve callers on one host and compete for the scheduler lease."""
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
@@ -80,22 +80,22 @@
             self.events,
             limits.register_timeout_s,
         )
-        self.configuration.on_change = self._use_table
+        self.configuration.on_change = self._update_table
         self.command_runner = CommandRunner(self.node, self.registers)
         self.tried_targets = TriedTargets(self.node)
         self.placement = Placement(self.node.process, self.events, self._deliver)
         self.running_calls = 0
-        self._is_waiting = False
+        self._is_wait_logged = False
         self._backends: dict[str, Backend] = {}
         self.scheduling: LeasedScheduler
 
     async def start(self) -> None:
-        """Open the links and begin to follow the table."""
+        """Open the links and start the background tasks."""
         self.session = make_session()
         self.scheduling = LeasedScheduler(self.node, self.follower, self.placement, self.session)
         self.node.make_heartbeat = self._make_heartbeat
         await self.node.start(self.handle)
-        self.node.spawn(self._beat(), "heartbeat")
+        self.node.spawn(self._run_heartbeats(), "heartbeat")
         self.node.spawn(self._become_ready(), "readiness")
         self.node.spawn(self.scheduling.run(), "lease")
         self.node.spawn(self.scheduling.run_ticks(), "ticks")
@@ -105,12 +105,12 @@
             self.node.spawn(self.scheduling.run_host_list(self.settings.host_list_url), "host list")
 
     async def stop(self) -> None:
-        """Close everything."""
+        """Stop the node and close the HTTP session."""
         await self.node.stop()
         await self.session.close()
 
     async def drain(self) -> bool:
-        """Take no new work, hand the scheduler's role over, let running work end.
+        """Refuse new work, release the scheduler lease and wait for running work.
 
         Return whether all of it ended within `drain_s`.
         """
@@ -121,16 +121,16 @@
         end_s = read_clock_s() + self.settings.limits.drain_s
         while self.count_open() and read_clock_s() < end_s:
             await asyncio.sleep(_DRAIN_POLL_S)
-        left = self.count_open()
-        self.events.emit("drain_ended", left=left)
-        return left == 0
+        open_count = self.count_open()
+        self.events.emit("drain_ended", left=open_count)
+        return open_count == 0
 
     def count_open(self) -> int:
         """Return how many calls and commands are in progress."""
         return max(self.running_calls, self.command_runner.running_count)
 
     def find_backend(self, target: str) -> Backend | None:
-        """Return the adapter of a target."""
+        """Return the backend of a target, or None if the table lacks it."""
         return self._backends.get(target)
 
     # Messages
@@ -138,7 +138,7 @@
     def handle(
         self, peer: ProcessId, message: PeerMessage
     ) -> PeerMessage | Awaitable[PeerMessage | None] | None:
-        """Answer a message of a peer."""
+        """Handle a message of a peer and return the reply, if it has one."""
         match message:
             case PlacementAsk() | Finished() | Withdraw() | RunningReport() | TargetNotices():
                 self.scheduling.handle(peer, message)
@@ -148,7 +148,7 @@
                     self.placement.receive(message)
                 return None
             case Heartbeat():
-                self._hear(message)
+                self._handle_heartbeat(message)
                 return None
             case LeaseAsk():
                 return self.scheduling.handle_ask(peer, message)
@@ -162,11 +162,13 @@
             case ChangesAsk():
                 return self.follower.answer(message)
             case Changes() | Snapshot():
-                return self._learn(message)
+                return self._handle_changes(message)
             case _:
-                return Refused(int(ResultCode.LINK_MALFORMED), "not for an entry process")
+                return Refused(
+                    int(ResultCode.LINK_MALFORMED), "entry processes do not handle this message"
+                )
 
-    async def _learn(self, message: Changes | Snapshot) -> PeerMessage:
+    async def _handle_changes(self, message: Changes | Snapshot) -> PeerMessage:
         if self.node.state is not ProcessState.starting:
             await self.configuration.apply_changes(message)
         return Acknowledged()
@@ -180,7 +182,7 @@
 
     # Heartbeats
 
-    async def _beat(self) -> None:
+    async def _run_heartbeats(self) -> None:
         while True:
             self.node.send_heartbeats()
             await asyncio.sleep(self.settings.limits.heartbeat_s)
@@ -195,7 +197,7 @@
             scheduling=self.scheduling.is_held,
         )
 
-    def _hear(self, heartbeat: Heartbeat) -> None:
+    def _handle_heartbeat(self, heartbeat: Heartbeat) -> None:
         self.node.hear(heartbeat)
         process = ProcessId(heartbeat.process)
         if process in self.node.peers.domain_entries:
@@ -206,21 +208,21 @@
         if is_ready and heartbeat.version > self.follower.version:
             self.node.spawn(self.configuration.pull(process), "pull")
 
-    # The table
+    # Table
 
     async def _become_ready(self) -> None:
-        """Learn a version that is no older than any this host ever served.
+        """Fetch a table version no older than any this host has served, then serve.
 
-        A majority of keepers tells it; where none can be reached, the domain's
-        own keeper does if it has been complete and in touch all along.
+        It comes from a majority of keepers or, if none is reachable, from a keeper of
+        the failure domain that is live and reports that its table is complete.
         """
         while self.node.state is ProcessState.starting:
-            if await self._read_majority() or await self._read_own_keeper():
-                self._begin_serving()
+            if await self._catch_up_from_majority() or await self._catch_up_from_local_keeper():
+                self._start_serving()
                 return
             await asyncio.sleep(self.settings.limits.heartbeat_s / 2)
 
-    async def _read_majority(self) -> bool:
+    async def _catch_up_from_majority(self) -> bool:
         await self.registers.refresh_keepers()
         if self.registers.keepers is None:
             return False
@@ -229,48 +231,48 @@
         try:
             await self.configuration.catch_up()
         except TroutstandError as error:
-            self._note_waiting(error)
+            self._log_catch_up_wait(error)
             return False
         return True
 
-    def _note_waiting(self, error: TroutstandError) -> None:
-        """Log once a process that no majority tells the newest version."""
-        if not self._is_waiting:
-            self._is_waiting = True
+    def _log_catch_up_wait(self, error: TroutstandError) -> None:
+        """Log once that no majority of keepers gave the newest version."""
+        if not self._is_wait_logged:
+            self._is_wait_logged = True
             self.events.emit("catch_up_waits", code=error.code, detail=error.detail)
 
-    async def _read_own_keeper(self) -> bool:
+    async def _catch_up_from_local_keeper(self) -> bool:
         now_s = read_clock_s()
         lease_s = self.settings.limits.lease_s
         for keeper in self.node.peers.domain_keepers:
-            heard = self.node.peers.heard.get(keeper)
-            if heard is None or not heard.heartbeat.complete:
+            latest = self.node.peers.heard.get(keeper)
+            if latest is None or not latest.heartbeat.complete:
                 continue
             if not self.node.peers.is_live(keeper, now_s, lease_s):
                 continue
             await self.configuration.pull(keeper)
-            if self.follower.version >= heard.heartbeat.version:
+            if self.follower.version >= latest.heartbeat.version:
                 return True
         return False
 
-    def _begin_serving(self) -> None:
+    def _start_serving(self) -> None:
         self.node.state = ProcessState.serving
         self.events.emit("serving", version=self.follower.version)
-        self._use_table()
+        self._update_table()
         self.node.send_heartbeats()
 
-    def _use_table(self) -> None:
+    def _update_table(self) -> None:
         if self.node.state is ProcessState.starting:
             return
         self.directory.update(self.follower.table)
         self.scheduling.update_table()
         targets = self.directory.targets
         for name, row in targets.items():
-            known = self._backends.get(name)
-            if known is None or known.row != row:
+            backend = self._backends.get(name)
+            if backend is None or backend.row != row:
                 is_engine = row.protocol is Protocol.engine
                 backend_class = EngineBackend if is_engine else ServiceBackend
-                hear = self.placement.hear_target
-                self._backends[name] = backend_class(row, self.session, hear)
+                on_notice = self.placement.hear_target
+                self._backends[name] = backend_class(row, self.session, on_notice)
         for name in set(self._backends) - set(targets):
             del self._backends[name]
