--- a/troutstand/daemon/journal.py
+++ b/troutstand/daemon/journal.py
@@ -1,4 +1,4 @@
-"""Sync the records of all that arrives in one turn of the loop together."""
+"""Batch record writes so that one fsync covers several messages (group commit)."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Journal:
-    """Write records to the disk; a disk that refuses ends the process."""
+    """Write records durably; end the process if a write fails."""
 
     def __init__(self, storage: Storage) -> None:
         self._storage = storage
@@ -25,7 +25,7 @@
         loop = asyncio.get_running_loop()
         if self._done is None:
             self._done = loop.create_future()
-            # Two turns of the loop let every message that is already read join.
+            # Two loop iterations let all messages that are already read join the batch.
             loop.call_soon(loop.call_soon, self._flush)
         self._records.extend(records)
         return self._done
@@ -41,15 +41,14 @@
             done.set_result(None)
             return
         done.set_exception(error)
-        # Some callers do not wait; the failure is logged already.
+        # Marks the exception as retrieved: some callers do not await, and it is already logged.
         done.exception()
 
     def _append(self, records: list[StoredRecord]) -> TroutstandError | None:
-        """Append records; return what those who wait for them are told."""
+        """Append records and return the error for the waiting callers, if any."""
         try:
             self._storage.append(records)
         except TroutstandError as error:
-            # What was not synced must never be acknowledged; memory is ahead
-            # of the disk now, so that the process cannot go on.
+            # State in memory is ahead of the disk and must never be acknowledged.
             raise SystemExit(str(error)) from error
         return None
--- a/troutstand/daemon/leasedscheduler.py
+++ b/troutstand/daemon/leasedscheduler.py
@@ -1,4 +1,4 @@
-"""Run the failure domain's scheduler in the entry process that holds its lease."""
+"""Elect a failure domain's scheduler among its entry processes and run it."""
 
 from __future__ import annotations
 
@@ -38,16 +38,16 @@
     from troutstand.daemon.node import Node
     from troutstand.daemon.placement import Placement
 
-_TICK_S = 0.05
-_HOST_LIST_S = 1.0
-_GAUGES_S = 1.0
-_MILLISECONDS = 1000
-# The lease is asked for this many times in its length.
-_ASKS_A_LEASE = 4
+_TICK_INTERVAL_S = 0.05
+_HOST_LIST_INTERVAL_S = 1.0
+_GAUGE_INTERVAL_S = 1.0
+_MS_PER_S = 1000
+# Renewals per lease duration, so that a lost renewal does not end the lease.
+_RENEWALS_PER_LEASE = 4
 
 
 class LeasedScheduler:
-    """Hold or follow the scheduler's lease of one failure domain."""
+    """Run the scheduler while this process holds its lease; otherwise follow the holder."""
 
     def __init__(
         self, node: Node, follower: Follower, placement: Placement, session: aiohttp.ClientSession
@@ -72,42 +72,42 @@
 
     @property
     def is_held(self) -> bool:
-        """Tell whether this process is the scheduler now."""
+        """Tell whether this process holds the lease and runs the scheduler."""
         return self.scheduler is not None and self._holder.is_held(read_clock_s())
 
-    # The lease
+    # Lease
 
     def handle_ask(self, peer: ProcessId, ask: LeaseAsk) -> LeaseVote:
-        """Vote for a peer that wants to be scheduler."""
+        """Vote on a peer's request for the lease."""
         self._voter.drop_ended_holders(self._node.peers.is_refused)
         return self._voter.handle_ask(ask, read_clock_s())
 
     def handle_release(self, release: LeaseRelease) -> None:
-        """Take a vote back."""
+        """Withdraw the vote for a holder that releases the lease."""
         self._voter.handle_release(release)
 
     async def run(self) -> None:
-        """Ask for the lease, keep it and give the scheduler its time."""
+        """Request or renew the lease periodically and start or stop the scheduler."""
         while True:
             if self._is_candidate():
-                await self._ask_votes()
+                await self._request_votes()
             self._update_role()
-            await asyncio.sleep(self._lease_s / _ASKS_A_LEASE)
+            await asyncio.sleep(self._lease_s / _RENEWALS_PER_LEASE)
 
     async def run_ticks(self) -> None:
-        """Let the scheduler shed and place as time passes."""
+        """Run the scheduler's periodic placement and load shedding."""
         while True:
-            await asyncio.sleep(_TICK_S)
+            await asyncio.sleep(_TICK_INTERVAL_S)
             if self.scheduler and not self.is_held:
                 self._update_role()
             if self.scheduler:
                 self._dispatch(self.scheduler.tick(read_clock_s()))
-                self._drop_lost_processes()
+                self._drop_ended_processes()
 
     async def run_gauges(self) -> None:
-        """Publish each tier's load while this process is the scheduler."""
+        """Publish queue gauges per tier while this process is the scheduler."""
         while True:
-            await asyncio.sleep(_GAUGES_S)
+            await asyncio.sleep(_GAUGE_INTERVAL_S)
             for count in self.scheduler.count_tiers() if self.scheduler else []:
                 self._node.events.emit(
                     "queue_gauges",
@@ -117,19 +117,19 @@
                 )
 
     async def run_host_list(self, url: str) -> None:
-        """Follow the platform's list of leaving targets."""
+        """Poll the platform's host list for leaving targets."""
         while True:
             try:
-                listed = await read_host_list(self._session, url)
-                self._leaving = listed.list_leaving()
+                host_list = await read_host_list(self._session, url)
+                self._leaving = host_list.list_leaving()
                 if self.scheduler:
                     self.scheduler.update_leaving(self._leaving)
             except TroutstandError as error:
                 self._node.events.emit("host_list_failed", code=error.code, detail=error.detail)
-            await asyncio.sleep(_HOST_LIST_S)
+            await asyncio.sleep(_HOST_LIST_INTERVAL_S)
 
     def _is_candidate(self) -> bool:
-        """Tell whether to ask: to renew, or where no live peer is first in line."""
+        """Tell whether to request the lease: as holder, or as first by name if no peer holds it."""
         if self._is_stepping_down or self._follower.version == 0:
             return False
         if self.scheduler is not None:
@@ -148,56 +148,58 @@
             return False
         return all(self._node.process < peer for peer in live)
 
-    async def _ask_votes(self) -> None:
-        asked_s = read_clock_s()
-        lease_ms = int(self._lease_s * _MILLISECONDS)
+    async def _request_votes(self) -> None:
+        requested_s = read_clock_s()
+        lease_ms = int(self._lease_s * _MS_PER_S)
         ask = LeaseAsk(self._resource, self._node.process, self._node.incarnation, lease_ms)
-        own = self.handle_ask(self._node.process, ask)
-        self._holder.record_vote(self._node.process, own, asked_s)
-        if not own.granted:
+        own_vote = self.handle_ask(self._node.process, ask)
+        self._holder.record_vote(self._node.process, own_vote, requested_s)
+        if not own_vote.granted:
             return
         peers = self._node.peers
         others = (peers.keepers | peers.domain_entries) - {self._node.process}
-        await asyncio.gather(*(self._ask_vote(peer, ask, asked_s) for peer in others))
+        await asyncio.gather(*(self._request_vote(peer, ask, requested_s) for peer in others))
 
-    async def _ask_vote(self, peer: ProcessId, ask: LeaseAsk, asked_s: float) -> None:
+    async def _request_vote(self, peer: ProcessId, ask: LeaseAsk, requested_s: float) -> None:
         if self._node.peers.is_refused(peer):
-            # Its process has ended, and a new one casts no vote for a lease's
-            # length: an entry process counts as agreed, a keeper as silent.
+            # The peer's process has ended and a restarted one abstains for one lease duration,
+            # so an entry process counts as a granted vote and a keeper as no vote.
             if peer in self._node.peers.domain_entries:
-                self._holder.record_vote(peer, LeaseVote(True, ask.holder, ask.lease_ms), asked_s)
+                self._holder.record_vote(
+                    peer, LeaseVote(True, ask.holder, ask.lease_ms), requested_s
+                )
             return
         try:
-            vote = await self._node.peers.ask(peer, ask, self._lease_s / _ASKS_A_LEASE)
+            vote = await self._node.peers.ask(peer, ask, self._lease_s / _RENEWALS_PER_LEASE)
         except TroutstandError:
-            # A silent peer casts no vote; the next ask comes within the lease.
+            # An unreachable peer casts no vote; the next renewal retries.
             return
         if isinstance(vote, LeaseVote):
-            self._holder.record_vote(peer, vote, asked_s)
+            self._holder.record_vote(peer, vote, requested_s)
 
     def _update_role(self) -> None:
         is_held = self._holder.is_held(read_clock_s())
         if is_held and self.scheduler is None:
-            self._begin()
+            self._start_scheduler()
         elif not is_held and self.scheduler is not None:
-            self._end("lease_lost")
+            self._stop_scheduler("lease_lost")
         elif self.scheduler is None:
             self._placement.follow(self._find_scheduler())
 
     def _find_scheduler(self) -> ProcessId | None:
         now_s = read_clock_s()
         peers = self._node.peers
-        found = [
+        holders = [
             peer
             for peer in peers.domain_entries - {self._node.process}
             if peers.is_live(peer, now_s, self._lease_s)
             and peers.heard[peer].heartbeat.scheduling
             and not peers.is_refused(peer)
         ]
-        return max(found, key=lambda peer: peers.heard[peer].at_s, default=None)
+        return max(holders, key=lambda peer: peers.heard[peer].at_s, default=None)
 
     def follow_scheduler(self) -> None:
-        """Follow at once the scheduler that a heartbeat told of."""
+        """Send placements to the scheduler that the latest heartbeats name."""
         if self.scheduler is None:
             self._placement.follow(self._find_scheduler())
 
@@ -209,7 +211,7 @@
         trace = Path(settings.trace_file).open("ab", buffering=0)
         return TracedScheduler(self._domain, limit, seed, now_s, trace.write)
 
-    def _begin(self) -> None:
+    def _start_scheduler(self) -> None:
         self.scheduler = self._make_scheduler()
         self.scheduler.update_table(self._follower.table)
         self.scheduler.update_leaving(self._leaving)
@@ -217,32 +219,32 @@
         self._node.send_heartbeats()
         self._placement.follow(self._node.process)
 
-    def _end(self, reason: str) -> None:
+    def _stop_scheduler(self, reason: str) -> None:
         self.scheduler = None
         self._node.events.emit("scheduler_ended", domain=self._domain, reason=reason)
         self._node.send_heartbeats()
         self._placement.follow(self._find_scheduler())
 
     def step_down(self) -> None:
-        """Give the lease back, so that another process takes over at once."""
+        """Release the lease before a shutdown, without waiting for it to expire."""
         self._is_stepping_down = True
         release = LeaseRelease(self._resource, self._node.process, self._node.incarnation)
         if self.scheduler is not None:
-            self._end("drained")
+            self._stop_scheduler("drained")
         self._holder.clear_votes()
         self._voter.handle_release(release)
         peers = self._node.peers
         peers.broadcast(release, peers.keepers | peers.domain_entries)
 
-    # The scheduler's messages
+    # Messages to and from the scheduler
 
     def update_table(self) -> None:
-        """Take a newer table."""
+        """Pass the current table to the scheduler."""
         if self.scheduler:
             self.scheduler.update_table(self._follower.table)
 
     def handle(self, peer: ProcessId, message: SchedulerMessage) -> bool:
-        """Hand an entry process's message to the scheduler; tell whether it is here."""
+        """Pass a message to the scheduler; return False if it does not run here."""
         if self.scheduler is None or not self.is_held:
             return False
         now_s = read_clock_s()
@@ -264,13 +266,13 @@
 
     def _dispatch(self, sends: list[Send]) -> None:
         for send in sends:
-            self._note(send)
+            self._emit_send(send)
             if send.process == self._node.process:
                 self._placement.receive(send.message)
             elif not self._node.peers.send(send.process, send.message):
                 self._node.events.emit("scheduler_unsent", send.message.request, peer=send.process)
 
-    def _note(self, send: Send) -> None:
+    def _emit_send(self, send: Send) -> None:
         match send.message:
             case Grant(request, target, waited_ms, cached_tokens, reason):
                 self._node.events.emit(
@@ -293,8 +295,8 @@
             case Preempt(request):
                 self._node.events.emit("request_preempted", request, to=send.process)
 
-    def _drop_lost_processes(self) -> None:
-        """Forget the requests of entry processes that have surely ended."""
+    def _drop_ended_processes(self) -> None:
+        """Drop the requests of entry processes that have ended."""
         assert self.scheduler is not None
         for peer in self._node.peers.domain_entries:
             if self._node.peers.is_refused(peer):
--- a/troutstand/daemon/servicecalls.py
+++ b/troutstand/daemon/servicecalls.py
@@ -1,4 +1,4 @@
-"""Serve callers' calls of plain services, some of which may not be repeated."""
+"""Serve calls of plain services: idempotent calls are retried, commands run at most once."""
 
 from __future__ import annotations
 
@@ -26,15 +26,15 @@
     from troutstand.daemon.requests import Caller
     from troutstand.generated.table import Service
 
-MAX_TRIES = 3
-_MILLISECONDS = 1000
-_REQUEST_BYTES = 12
-_AGAIN = (ResultCode.TARGET_UNREACHABLE, ResultCode.ANSWER_CUT, ResultCode.TARGET_TIMEOUT)
+MAX_ATTEMPTS = 3
+_MS_PER_S = 1000
+_REQUEST_ID_BYTES = 12
+_RETRYABLE_CODES = (ResultCode.TARGET_UNREACHABLE, ResultCode.ANSWER_CUT, ResultCode.TARGET_TIMEOUT)
 
 
 @dataclass(frozen=True)
 class ServiceCall:
-    """Carry a checked call of a service."""
+    """Describe a validated call of a service."""
 
     key: str
     is_key_generated: bool
@@ -48,29 +48,29 @@
 
     @property
     def is_command(self) -> bool:
-        """Tell whether the call may not be repeated."""
+        """Tell whether the call is not idempotent and must run at most once."""
         text = f"{self.method} {self.path}"
         return any(fnmatch.fnmatchcase(text, pattern) for pattern in self.service.unrepeatable)
 
     @property
     def command_key(self) -> CommandKey:
-        """Return the key that names the command within its workspace."""
+        """Return the idempotency key, qualified by the workspace."""
         return CommandKey(f"{self.caller.workspace.name}/{self.key}")
 
     @property
     def fingerprint(self) -> str:
-        """Return what is the same for all calls of the workspace with one path and body."""
+        """Return a hash that is equal for a workspace's calls with equal method, path and body."""
         workspace = self.caller.workspace.name
         return compute_fingerprint(workspace, self.method, "", self.path, self.body)
 
     def compute_digest(self) -> str:
-        """Return a digest that tells this call from others of its key."""
+        """Return a digest that detects a different call with the same idempotency key."""
         parts = [self.service.name, self.method, self.path, self.content_type]
         return xxhash.xxh3_128_hexdigest("\n".join(parts).encode() + b"\n" + self.body)
 
 
 class ServiceCallHandler:
-    """Place calls of services, and run commands at most once."""
+    """Place service calls, with retries if idempotent and at most once if not."""
 
     def __init__(self, entry: EntryProcess) -> None:
         self._entry = entry
@@ -81,19 +81,18 @@
         Raises
         ------
         TroutstandError
-            With `run` told truly.
+            Its `run` tells whether the call may have run.
         """
         if not call.is_command:
-            return _make_response(await self._repeat(call), call.key)
-        # A command goes on when its caller hangs up: its outcome is recorded
-        # for the resend.
+            return _make_response(await self._send_with_retries(call), call.key)
+        # A command continues after its caller disconnects: a resend gets the recorded outcome.
         task = asyncio.create_task(self._run_command(call))
         self._entry.node.keep_command(task)
         outcome = await asyncio.shield(task)
         return _make_response(outcome, call.key)
 
     async def _run_command(self, call: ServiceCall) -> Outcome:
-        request = f"c-{secrets.token_hex(_REQUEST_BYTES)}"
+        request = f"c-{secrets.token_hex(_REQUEST_ID_BYTES)}"
         self._entry.events.emit("command_received", request, key=call.command_key)
         started_s = read_clock_s()
         try:
@@ -110,45 +109,45 @@
                 "command_refused", request, error.code, key=call.command_key, run=error.run.value
             )
             raise
-        total_ms = int((read_clock_s() - started_s) * _MILLISECONDS)
+        total_ms = int((read_clock_s() - started_s) * _MS_PER_S)
         self._entry.events.emit(
             "command_done", request, key=call.command_key, target=outcome.target, total_ms=total_ms
         )
         return outcome
 
     async def _send_once(self, call: ServiceCall, request: str) -> Outcome:
-        """Dispatch a claimed command to one target, once."""
+        """Send a claimed command to one target without retries."""
         try:
             grant = await self._place(call, request, [])
         except TroutstandError as error:
-            # The outcome carries the number.
+            # The outcome carries the result code.
             return make_not_run_outcome(error.code)
         target = grant.target
         self._entry.events.emit("command_dispatched", request, target=target, key=call.command_key)
         try:
             reply = await self._request(call, grant, call.key)
         except TroutstandError as error:
-            # target_failed tells of it.
+            # _request has logged target_failed.
             if error.code is ResultCode.TARGET_UNREACHABLE:
                 return make_not_run_outcome(error.code)
             return UNKNOWN_OUTCOME
         return Outcome(OutcomeKind.done, 0, reply.status, reply.content_type, reply.body, target)
 
-    async def _repeat(self, call: ServiceCall) -> Reply:
-        """Try a repeatable call at one target after another."""
+    async def _send_with_retries(self, call: ServiceCall) -> Reply:
+        """Send an idempotent call, retrying at other targets."""
         tried: list[str] = []
         while True:
-            request = secrets.token_hex(_REQUEST_BYTES)
+            request = secrets.token_hex(_REQUEST_ID_BYTES)
             try:
                 grant = await self._place(call, request, tried)
                 tried.append(grant.target)
                 reply = await self._request(call, grant, request)
-                if not reply.notice.rest_s or len(tried) >= MAX_TRIES:
+                if not reply.notice.rest_s or len(tried) >= MAX_ATTEMPTS:
                     return reply
             except TroutstandError as error:
                 if tried and error.code is not ResultCode.TARGET_UNREACHABLE:
                     error.run = Run.UNKNOWN
-                if error.code not in _AGAIN or len(tried) >= MAX_TRIES:
+                if error.code not in _RETRYABLE_CODES or len(tried) >= MAX_ATTEMPTS:
                     raise
 
     async def _place(self, call: ServiceCall, request: str, exclude: list[str]) -> Grant:
@@ -159,7 +158,7 @@
             workspace=call.caller.workspace.name,
             tier=tier.name,
             serves=call.service.name,
-            wait_ms=int(wait_s * _MILLISECONDS),
+            wait_ms=int(wait_s * _MS_PER_S),
             protocol="service",
             exclude=exclude,
             fingerprint=call.fingerprint,
@@ -168,12 +167,15 @@
 
     async def _request(self, call: ServiceCall, grant: Grant, request: str) -> Reply:
         started_s = read_clock_s()
-        ok = is_cut = is_gone = False
+        ok = is_truncated = is_target_gone = False
         fault = ""
         backend = self._entry.find_backend(grant.target)
         try:
             if backend is None:
-                raise TroutstandError(ResultCode.TARGET_UNREACHABLE, f"{grant.target} has gone")
+                raise TroutstandError(
+                    ResultCode.TARGET_UNREACHABLE,
+                    f"target {grant.target} is no longer in the table",
+                )
             reply = await backend.request(
                 Call(
                     request,
@@ -189,15 +191,15 @@
             return reply
         except TroutstandError as error:
             fault = error.code.name.lower()
-            is_cut = error.code is ResultCode.ANSWER_CUT
-            is_lost = is_cut or error.code is ResultCode.TARGET_UNREACHABLE
-            is_gone = is_lost and backend is not None and await backend.is_gone()
+            is_truncated = error.code is ResultCode.ANSWER_CUT
+            is_lost = is_truncated or error.code is ResultCode.TARGET_UNREACHABLE
+            is_target_gone = is_lost and backend is not None and await backend.is_gone()
             self._entry.events.emit(
                 "target_failed", grant.request, error.code, target=grant.target, detail=error.detail
             )
             raise
         finally:
-            total_ms = int((read_clock_s() - started_s) * _MILLISECONDS)
+            total_ms = int((read_clock_s() - started_s) * _MS_PER_S)
             self._entry.placement.finish(
                 Finished(
                     grant.request,
@@ -206,8 +208,8 @@
                     total_ms=total_ms,
                     fault=fault,
                     fingerprint=call.fingerprint,
-                    is_broken_off=is_cut,
-                    is_target_gone=is_gone,
+                    is_broken_off=is_truncated,
+                    is_target_gone=is_target_gone,
                 )
             )
 
--- a/troutstand/daemon/startup.py
+++ b/troutstand/daemon/startup.py
@@ -1,4 +1,4 @@
-"""Read a process's settings and check them before any port opens."""
+"""Read and validate a process's settings before it opens any port."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def decode_settings(data: bytes) -> Settings:
-    """Decode settings and check them against the schema.
+    """Decode settings and validate them against the schema.
 
     Raises
     ------
@@ -26,11 +26,11 @@
         SETTINGS_UNREADABLE or SETTINGS_INVALID, naming the field.
     """
     try:
-        plain = msgspec.json.decode(data)
+        decoded = msgspec.json.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         raise TroutstandError(ResultCode.SETTINGS_UNREADABLE, str(error)) from error
     try:
-        return msgspec.convert(plain, Settings)
+        return msgspec.convert(decoded, Settings)
     except msgspec.ValidationError as error:
         raise TroutstandError(ResultCode.SETTINGS_INVALID, str(error)) from error
 
@@ -41,7 +41,7 @@
     try:
         ipaddress.ip_address(address.ip)
     except ValueError:
-        detail = f"{field}.ip {address.ip!r} is no IP number"
+        detail = f"{field}.ip {address.ip!r} is not an IP address"
         return [TroutstandError(ResultCode.SETTINGS_INVALID, detail)]
     return []
 
@@ -49,21 +49,23 @@
 def _check_peers(settings: Settings) -> list[TroutstandError]:
     names = Counter(name_process(peer.host, peer.role.value) for peer in settings.peers)
     errors = [
-        TroutstandError(ResultCode.SETTINGS_DUPLICATE_HOST, f"peers: {name} stands {count} times")
+        TroutstandError(
+            ResultCode.SETTINGS_DUPLICATE_HOST, f"peers: {name} is listed {count} times"
+        )
         for name, count in names.items()
         if count > 1
     ]
-    own = name_process(settings.host, settings.role.value)
-    if own not in names:
-        detail = f"peers: the process's own entry {own} is missing"
+    own_name = name_process(settings.host, settings.role.value)
+    if own_name not in names:
+        detail = f"peers: the process's own entry {own_name} is missing"
         errors.append(TroutstandError(ResultCode.SETTINGS_INVALID, detail))
     domains: dict[str, str] = {}
     for peer in settings.peers:
         if domains.setdefault(peer.host, peer.failure_domain) != peer.failure_domain:
-            detail = f"peers: host {peer.host} stands in two failure domains"
+            detail = f"peers: host {peer.host} is listed in two failure domains"
             errors.append(TroutstandError(ResultCode.SETTINGS_DUPLICATE_HOST, detail))
     if domains.get(settings.host, settings.failure_domain) != settings.failure_domain:
-        detail = f"failure_domain {settings.failure_domain!r} differs from peers'"
+        detail = f"failure_domain {settings.failure_domain!r} differs from the host's in peers"
         errors.append(TroutstandError(ResultCode.SETTINGS_INVALID, detail))
     for index, peer in enumerate(settings.peers):
         errors.extend(_check_address(f"peers[{index}].link", peer.link))
@@ -79,12 +81,12 @@
 
 
 def check_settings(settings: Settings) -> None:
-    """Check what the schema cannot say.
+    """Check the constraints that the schema cannot express.
 
     Raises
     ------
     ExceptionGroup
-        Of TroutstandError, one for each fault.
+        Of TroutstandError, one per invalid setting.
     """
     errors = _check_role(settings) + _check_peers(settings)
     errors += _check_address("link", settings.link)
@@ -92,18 +94,18 @@
     errors += _check_address("callers", settings.callers)
     errors += _check_address("statsd", settings.statsd)
     if errors:
-        raise ExceptionGroup("the settings are wrong", errors)
+        raise ExceptionGroup("invalid settings", errors)
 
 
 def load_settings(path: Path) -> Settings:
-    """Read, decode and check a settings file.
+    """Read, decode and validate a settings file.
 
     Raises
     ------
     TroutstandError
         SETTINGS_UNREADABLE or SETTINGS_INVALID.
     ExceptionGroup
-        Of TroutstandError, one for each fault.
+        Of TroutstandError, one per invalid setting.
     """
     try:
         data = path.read_bytes()
--- a/troutstand/daemon/storage.py
+++ b/troutstand/daemon/storage.py
@@ -1,8 +1,7 @@
-"""Keep records in files that last once synced.
+"""Store records durably in a log and a snapshot.
 
-A record is a mark, its length, its checksum and its CBOR bytes. A bad record
-at the end of the file was never acknowledged and is cut off; one with good
-records behind it means that the disk lost what was acknowledged (issue 4).
+A frame is a magic number, a length, a checksum and a CBOR record. An invalid frame at the end
+of a file was never acknowledged and is truncated; one before a valid frame is corruption.
 """
 
 from __future__ import annotations
@@ -26,7 +25,7 @@
     from io import FileIO
     from pathlib import Path
 
-_MARK = b"TsR1"
+_MAGIC = b"TsR1"
 _HEADER = struct.Struct("<4sIQ")
 _LOG = "records.log"
 _SNAPSHOT = "records.snapshot"
@@ -35,50 +34,52 @@
 
 
 def frame_record(record: StoredRecord) -> bytes:
-    """Frame a record for the file."""
+    """Encode a record with its header."""
     data = encode_record(record)
-    return _HEADER.pack(_MARK, len(data), xxhash.xxh3_64_intdigest(data)) + data
+    return _HEADER.pack(_MAGIC, len(data), xxhash.xxh3_64_intdigest(data)) + data
 
 
-def _read_at(data: bytes, offset: int) -> bytes | None:
-    """Return the record's bytes at an offset, or None where they are bad."""
+def _read_frame(data: bytes, offset: int) -> bytes | None:
+    """Return the record's bytes at an offset, or None if the frame is invalid."""
     if offset + _HEADER.size > len(data):
         return None
-    mark, length, checksum = _HEADER.unpack_from(data, offset)
+    magic, length, checksum = _HEADER.unpack_from(data, offset)
     body = data[offset + _HEADER.size : offset + _HEADER.size + length]
-    if mark != _MARK or len(body) != length or xxhash.xxh3_64_intdigest(body) != checksum:
+    if magic != _MAGIC or len(body) != length or xxhash.xxh3_64_intdigest(body) != checksum:
         return None
     return body
 
 
-def _has_record_after(data: bytes, offset: int) -> bool:
-    position = data.find(_MARK, offset + 1)
+def _has_valid_frame_after(data: bytes, offset: int) -> bool:
+    position = data.find(_MAGIC, offset + 1)
     while position >= 0:
-        if _read_at(data, position) is not None:
+        if _read_frame(data, position) is not None:
             return True
-        position = data.find(_MARK, position + 1)
+        position = data.find(_MAGIC, position + 1)
     return False
 
 
 def read_records(path: Path) -> tuple[list[StoredRecord], int]:
-    """Read a file's records and the length of its good part in bytes.
+    """Return a file's records and the length in bytes of its valid prefix.
 
     Raises
     ------
     TroutstandError
-        STORAGE_CORRUPT where a bad record has a good one behind it.
+        STORAGE_CORRUPT if a valid frame follows an invalid one.
     """
     data = path.read_bytes() if path.exists() else b""
     records: list[StoredRecord] = []
     offset = 0
     while offset < len(data):
-        body = _read_at(data, offset)
+        body = _read_frame(data, offset)
         if body is None:
             break
         records.append(decode_record(body, StoredRecord))
         offset += _HEADER.size + len(body)
-    if offset < len(data) and _has_record_after(data, offset):
-        raise TroutstandError(ResultCode.STORAGE_CORRUPT, f"{path.name} at byte {offset}")
+    if offset < len(data) and _has_valid_frame_after(data, offset):
+        raise TroutstandError(
+            ResultCode.STORAGE_CORRUPT, f"{path.name}: invalid frame at byte {offset}"
+        )
     return records, offset
 
 
@@ -96,43 +97,43 @@
         view = view[file.write(view) :]
 
 
-def _write_whole(path: Path, data: bytes) -> None:
-    scratch = path.with_suffix(".new")
-    with scratch.open("wb") as file:
+def _write_atomically(path: Path, data: bytes) -> None:
+    temporary = path.with_suffix(".new")
+    with temporary.open("wb") as file:
         file.write(data)
         file.flush()
         os.fsync(file.fileno())
-    scratch.rename(path)
+    temporary.rename(path)
     _sync_folder(path.parent)
 
 
 def format_folder(folder: Path, identity: StoredIdentity) -> None:
-    """Make a data folder for a new disk.
+    """Create a data folder with a new disk identity.
 
     Raises
     ------
     TroutstandError
-        DATA_FOLDER_FOREIGN where the folder is formatted already.
+        DATA_FOLDER_FOREIGN if the folder is already formatted.
     """
     folder.mkdir(parents=True, exist_ok=True)
     path = folder / _IDENTITY
     if path.exists():
-        raise TroutstandError(ResultCode.DATA_FOLDER_FOREIGN, f"{folder.name} is formatted already")
-    _write_whole(path, frame_record(identity))
+        raise TroutstandError(ResultCode.DATA_FOLDER_FOREIGN, f"{folder.name} is already formatted")
+    _write_atomically(path, frame_record(identity))
 
 
 def replace_identity(folder: Path, identity: StoredIdentity) -> None:
-    """Make a folder another disk's, so that nothing it voted before counts."""
-    _write_whole(folder / _IDENTITY, frame_record(identity))
+    """Give a folder a new disk identity, which invalidates its earlier votes."""
+    _write_atomically(folder / _IDENTITY, frame_record(identity))
 
 
 def read_identity(folder: Path) -> StoredIdentity:
-    """Read whose disk a folder is.
+    """Read the identity of a data folder's disk.
 
     Raises
     ------
     TroutstandError
-        DATA_FOLDER_UNFORMATTED where it is nobody's.
+        DATA_FOLDER_UNFORMATTED if it has none.
     """
     records, _ = read_records(folder / _IDENTITY)
     if not records or not isinstance(records[0], StoredIdentity):
@@ -144,12 +145,12 @@
 
 
 class Storage:
-    """Append records, sync them, and replace them by a snapshot.
+    """Append records to a synced log and replace the log by a snapshot.
 
     Parameters
     ----------
     folder
-        A formatted data folder; it is locked while open.
+        A formatted data folder, locked while open. DATA_FOLDER_IN_USE if already locked.
     """
 
     def __init__(self, folder: Path) -> None:
@@ -162,30 +163,30 @@
         self.log_record_count = 0
         self.sync_count = 0
         snapshot, _ = read_records(folder / _SNAPSHOT)
-        log, good_bytes = read_records(folder / _LOG)
+        log, valid_bytes = read_records(folder / _LOG)
         self.loaded = snapshot + log
         self.log_record_count = len(log)
-        counted = [r.sequence for r in snapshot if isinstance(r, StoredSequence)]
-        self._snapshot_sequence = counted[0] if counted else 0
-        # Unbuffered, so that a refused write leaves nothing behind to come later.
+        sequences = [record.sequence for record in snapshot if isinstance(record, StoredSequence)]
+        self._snapshot_sequence = sequences[0] if sequences else 0
+        # Unbuffered, so that a later write does not flush the rest of a failed one.
         self._file = (folder / _LOG).open("ab", buffering=0)
-        self.log_bytes = good_bytes
-        self._file.truncate(good_bytes)
+        self.log_bytes = valid_bytes
+        self._file.truncate(valid_bytes)
         os.fsync(self._file.fileno())
         _sync_folder(folder)
 
     @property
     def sequence(self) -> int:
-        """Return how many records were written since the disk was formatted."""
+        """Return the number of records written since the disk was formatted."""
         return self._snapshot_sequence + self.log_record_count
 
     def append(self, records: Iterable[StoredRecord]) -> None:
-        """Write records and sync them once.
+        """Write records and sync them with one fsync.
 
         Raises
         ------
         TroutstandError
-            STORAGE_FAILED where the disk refuses; nothing may be acknowledged then.
+            STORAGE_FAILED if the write fails; the records must not be acknowledged.
         """
         frames = [frame_record(record) for record in records]
         data = b"".join(frames)
@@ -193,30 +194,30 @@
             _write_all(self._file, data)
             os.fsync(self._file.fileno())
         except OSError as error:
-            self._cut_back()
+            self._truncate_partial_record()
             raise TroutstandError(ResultCode.STORAGE_FAILED, str(error)) from error
         self.log_record_count += len(frames)
         self.log_bytes += len(data)
         self.sync_count += 1
 
-    def _cut_back(self) -> None:
-        """Take a half-written record away, so that later ones can be read."""
-        # The refused write is told already. What stays of it is at the end, where a start
-        # cuts it off; nothing is appended behind it, since the state is written anew first.
+    def _truncate_partial_record(self) -> None:
+        """Truncate a partly written record."""
+        # On failure the partial record stays at the end, where the next start truncates it;
+        # until then, or until a snapshot replaces the log, nothing is appended.
         with contextlib.suppress(OSError):
             self._file.truncate(self.log_bytes)
 
     def write_snapshot(self, records: Iterable[StoredRecord]) -> None:
-        """Write a snapshot of all state and empty the log."""
+        """Write a snapshot of all state and truncate the log."""
         sequence = StoredSequence(self.sequence)
         frames = [frame_record(record) for record in (sequence, *records)]
-        _write_whole(self._folder / _SNAPSHOT, b"".join(frames))
+        _write_atomically(self._folder / _SNAPSHOT, b"".join(frames))
         self._file.truncate(0)
         os.fsync(self._file.fileno())
         self._snapshot_sequence, self.log_record_count = sequence.sequence, 0
         self.log_bytes = 0
 
     def close(self) -> None:
-        """Close the files."""
+        """Close the log and unlock the folder."""
         self._file.close()
         self._lock.close()
