--- a/troutstand/daemon/errorresponse.py
+++ b/troutstand/daemon/errorresponse.py
@@ -1,4 +1,4 @@
-"""Tell callers why a request was refused, in the OpenAI error envelope."""
+"""Convert errors into responses to callers, in the OpenAI error format."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
     from troutstand.core.errors import TroutstandError
 
 IDEMPOTENCY_KEY_HEADER = "Idempotency-Key"
-_TYPES = {400: "invalid_request_error", 401: "authentication_error", 403: "permission_error"}
+_ERROR_TYPES = {400: "invalid_request_error", 401: "authentication_error", 403: "permission_error"}
 
 
 class ErrorBody(msgspec.Struct, frozen=True):
-    """Carry one refusal."""
+    """Describe one error."""
 
     message: str
     type: str
@@ -30,17 +30,17 @@
 
 
 class ErrorEnvelope(msgspec.Struct, frozen=True):
-    """Wrap a refusal as OpenAI client libraries expect it."""
+    """Wrap an error in the shape that OpenAI client libraries expect."""
 
     error: ErrorBody
 
 
 def encode_error(error: TroutstandError) -> bytes:
-    """Encode a refusal."""
+    """Encode an error as JSON."""
     status = describe_code(error.code).http_status
     body = ErrorBody(
         message=error.detail,
-        type=_TYPES.get(status, "server_error"),
+        type=_ERROR_TYPES.get(status, "server_error"),
         code=error.code.name.lower(),
         number=error.code.value,
         run=error.run.value,
@@ -50,14 +50,14 @@
 
 
 def make_error_response(error: TroutstandError, key: str = "") -> web.Response:
-    """Make the response of a refusal, with when to come back."""
+    """Return the response to an error, with its Retry-After time if known."""
     headers = {"X-Run": error.run.value}
     if key:
         headers[IDEMPOTENCY_KEY_HEADER] = key
     if error.retry_after_s is not None:
         headers["Retry-After"] = str(math.ceil(error.retry_after_s))
     if error.run is Run.UNKNOWN and error.retry_after_s is None:
-        # Client libraries repeat a 409 by themselves; this one is final.
+        # Client libraries retry a 409 by default, but this outcome is final.
         headers["X-Should-Retry"] = "false"
     return web.Response(
         status=describe_code(error.code).http_status,
--- a/troutstand/daemon/keeper.py
+++ b/troutstand/daemon/keeper.py
@@ -1,4 +1,4 @@
-"""Run the keeper role: durable registers, the table, and votes for leases."""
+"""Run the keeper role: durable registers, the table, and lease votes."""
 
 from __future__ import annotations
 
@@ -48,20 +48,20 @@
     from troutstand.core.stored import StoredRecord
     from troutstand.generated.settings import Settings
 
-# The log is replaced by a snapshot when it holds this many records.
+# A longer log is replaced by a snapshot, which bounds the time to replay it.
 MAX_LOG_RECORDS = 20_000
 
 
 @dataclass(frozen=True)
-class Seen:
-    """Keep how far a peer's disk had come when it was last heard."""
+class DiskPosition:
+    """Identify a peer's disk and its highest known count of written records."""
 
     disk_id: str
     sequence: int
 
 
 class KeeperProcess:
-    """Serve one keeper's durable state to the site."""
+    """Run one keeper and serve its durable state to its peers."""
 
     def __init__(self, settings: Settings) -> None:
         assert settings.data_folder is not None
@@ -101,27 +101,26 @@
         self.membership = Membership(self)
         self.node.make_heartbeat = self._make_heartbeat
         self.is_caught_up = False
-        self._is_waiting = False
-        # A disk votes only once another keeper has told how far it had come,
-        # so that an older copy of it is found out.
+        self._is_catch_up_failing = False
+        # The disk votes only after a peer has confirmed that it is not an outdated copy.
         self.is_disk_checked = self.node.peers.keepers == {self.node.process}
-        self._is_outdated = False
-        self._seen: dict[ProcessId, Seen] = {}
-        self._last_beat_s = read_clock_s()
+        self._is_disk_outdated = False
+        self._peer_disks: dict[ProcessId, DiskPosition] = {}
+        self._last_heartbeat_s = read_clock_s()
 
     async def start(self) -> None:
-        """Open the links and begin the heartbeat."""
+        """Open the links and start sending heartbeats."""
         await self.node.start(self.handle)
         self.node.state = ProcessState.serving
-        self.node.spawn(self._beat(), "heartbeat")
+        self.node.spawn(self._run_heartbeats(), "heartbeat")
 
     async def stop(self) -> None:
-        """Stop and close the files."""
+        """Stop the node and close the storage."""
         await self.node.stop()
         self.storage.close()
 
     async def ask_keeper(self, process: str, message: PeerMessage, timeout_s: float) -> PeerMessage:
-        """Ask a keeper, which may be this one."""
+        """Send a message to a keeper, possibly this one, and return its reply."""
         if process != self.node.process:
             return await self.node.peers.ask(process, message, timeout_s)
         return await ask_oneself(self.handle, self.node.process, message)
@@ -129,21 +128,21 @@
     def handle(
         self, peer: ProcessId, message: PeerMessage
     ) -> PeerMessage | Awaitable[PeerMessage | None] | None:
-        """Answer a message of a peer."""
+        """Handle a peer's message and return the reply, if any."""
         match message:
             case Prepare() | Accept():
                 return self._handle_register(message)
             case Heartbeat():
-                self._hear(message)
+                self._handle_heartbeat(message)
                 return None
             case ChangesAsk():
                 return self.acceptor.follower.answer(message)
             case Changes() | Snapshot():
-                return self._learn(message)
+                return self._apply_changes(message)
             case LeaseAsk():
                 if self.node.peers.is_refused(peer):
-                    return Refused(int(ResultCode.LINK_CLOSED), "the asker has ended")
-                self._drop_dead_votes()
+                    return Refused(int(ResultCode.LINK_CLOSED), "the requesting process has ended")
+                self._drop_votes_for_ended()
                 return self.voter.handle_ask(message, read_clock_s())
             case LeaseRelease():
                 self.voter.handle_release(message)
@@ -155,24 +154,31 @@
             case CopyAsk():
                 return self.acceptor.copy_page(message)
             case _:
-                return Refused(int(ResultCode.LINK_MALFORMED), "not for a keeper")
+                return Refused(
+                    int(ResultCode.LINK_MALFORMED), "a keeper does not handle this message"
+                )
 
     def _handle_register(self, message: Prepare | Accept) -> PeerMessage | Awaitable[PeerMessage]:
         if not self.is_disk_checked:
-            return Refused(int(ResultCode.KEEPER_NOT_VOTING), "its disk's age is not checked yet")
-        handled = self.acceptor.handle(message, time.time())
-        if not handled.records:
-            return handled.reply
-        return self._reply_synced(handled.reply, handled.records)
+            return Refused(
+                int(ResultCode.KEEPER_NOT_VOTING),
+                "the disk is not confirmed to be up to date",
+            )
+        result = self.acceptor.handle(message, time.time())
+        if not result.records:
+            return result.reply
+        return self._reply_after_sync(result.reply, result.records)
 
-    async def _reply_synced(self, reply: PeerMessage, records: list[StoredRecord]) -> PeerMessage:
+    async def _reply_after_sync(
+        self, reply: PeerMessage, records: list[StoredRecord]
+    ) -> PeerMessage:
         await self.journal.write(records)
         return reply
 
-    def _drop_dead_votes(self) -> None:
+    def _drop_votes_for_ended(self) -> None:
         self.voter.drop_ended_holders(self.node.peers.is_refused)
 
-    async def _learn(self, message: Changes | Snapshot) -> PeerMessage:
+    async def _apply_changes(self, message: Changes | Snapshot) -> PeerMessage:
         await self.configuration.apply_changes(message)
         return Acknowledged()
 
@@ -182,47 +188,47 @@
     async def _persist_table(self, version: int, table: bytes) -> None:
         await self.journal.write([StoredTable(version, table)])
 
-    def _hear(self, heartbeat: Heartbeat) -> None:
+    def _handle_heartbeat(self, heartbeat: Heartbeat) -> None:
         self.node.hear(heartbeat)
         process = ProcessId(heartbeat.process)
         if process in self.node.peers.keepers:
-            self._note_sequence(heartbeat)
-            self._check_age(heartbeat)
+            self._record_peer_disk(heartbeat)
+            self._check_disk_age(heartbeat)
         if heartbeat.epoch > self.acceptor.epoch:
             self.node.spawn(self.membership.fetch(process), "fetch keepers")
         if heartbeat.version > self.acceptor.follower.version:
-            # Somebody runs a version that this disk lacks.
+            # The peer has a version that this disk lacks.
             self.is_caught_up = False
             self.node.spawn(self.configuration.pull(process), "pull")
 
-    def _check_age(self, heartbeat: Heartbeat) -> None:
+    def _check_disk_age(self, heartbeat: Heartbeat) -> None:
         is_own_disk = heartbeat.seen_disk_id in ("", self.acceptor.identity.disk_id)
         if not is_own_disk or heartbeat.seen_sequence <= self.storage.sequence:
-            self.is_disk_checked = self.is_disk_checked or not self._is_outdated
+            self.is_disk_checked = self.is_disk_checked or not self._is_disk_outdated
             return
-        if not self._is_outdated:
+        if not self._is_disk_outdated:
             detail = f"peer saw {heartbeat.seen_sequence} records, disk has {self.storage.sequence}"
             self.node.events.emit("disk_old", code=ResultCode.KEEPER_DISK_OLD, detail=detail)
-        self.is_disk_checked, self._is_outdated = False, True
+        self.is_disk_checked, self._is_disk_outdated = False, True
 
-    async def _beat(self) -> None:
+    async def _run_heartbeats(self) -> None:
         limits = self.node.settings.limits
         while True:
             now_s = read_clock_s()
-            if now_s - self._last_beat_s > limits.lease_s:
-                # This process was frozen; the others may have gone on.
+            if now_s - self._last_heartbeat_s > limits.lease_s:
+                # This process was paused, and its peers may have decided newer versions.
                 self.is_caught_up = False
-            self._last_beat_s = now_s
+            self._last_heartbeat_s = now_s
             self.node.send_heartbeats()
             if not self.is_caught_up:
-                await self._complete()
+                await self._catch_up()
             await self._join()
             if self.storage.log_record_count > MAX_LOG_RECORDS:
                 self.write_snapshot()
             await asyncio.sleep(limits.heartbeat_s)
 
     def _make_heartbeat(self, peer: ProcessId) -> Heartbeat:
-        seen = self._seen.get(peer) or Seen("", 0)
+        position = self._peer_disks.get(peer) or DiskPosition("", 0)
         return Heartbeat(
             process=self.node.process,
             incarnation=self.node.incarnation,
@@ -231,34 +237,38 @@
             epoch=self.acceptor.epoch,
             sequence=self.storage.sequence,
             complete=self.is_caught_up,
-            seen_sequence=seen.sequence,
-            seen_disk_id=seen.disk_id,
+            seen_sequence=position.sequence,
+            seen_disk_id=position.disk_id,
             disk_id=self.acceptor.identity.disk_id,
         )
 
-    def _note_sequence(self, heartbeat: Heartbeat) -> None:
+    def _record_peer_disk(self, heartbeat: Heartbeat) -> None:
         process = ProcessId(heartbeat.process)
-        seen = self._seen.get(process)
-        if seen is None or seen.disk_id != heartbeat.disk_id or heartbeat.sequence > seen.sequence:
-            self._seen[process] = Seen(heartbeat.disk_id, heartbeat.sequence)
+        position = self._peer_disks.get(process)
+        if (
+            position is None
+            or position.disk_id != heartbeat.disk_id
+            or heartbeat.sequence > position.sequence
+        ):
+            self._peer_disks[process] = DiskPosition(heartbeat.disk_id, heartbeat.sequence)
 
-    async def _complete(self) -> None:
-        """Read from a majority what was decided while this process was away."""
+    async def _catch_up(self) -> None:
+        """Read from a majority what was decided while this process was unavailable."""
         if not list_voters(self.acceptor.keepers):
             await self.registers.refresh_keepers()
             return
         try:
             await self.configuration.catch_up()
         except TroutstandError as error:
-            self._note_waiting(error)
+            self._log_catch_up_failure(error)
             return
         self.is_caught_up = True
-        self._is_waiting = False
+        self._is_catch_up_failing = False
 
-    def _note_waiting(self, error: TroutstandError) -> None:
-        """Log once that no majority tells what was decided; it is tried again."""
-        if not self._is_waiting:
-            self._is_waiting = True
+    def _log_catch_up_failure(self, error: TroutstandError) -> None:
+        """Log the first failure to reach a majority; the next heartbeat retries."""
+        if not self._is_catch_up_failing:
+            self._is_catch_up_failing = True
             self.node.events.emit("catch_up_waits", code=error.code, detail=error.detail)
 
     async def _join(self) -> None:
@@ -271,7 +281,7 @@
             self.node.events.emit("copy_failed", code=error.code, detail=error.detail)
 
     def write_snapshot(self) -> None:
-        """Replace the log by the state it leads to."""
+        """Replace the log by a snapshot of the current state."""
         retention_s = self.node.settings.limits.claim_retention_s
         records = self.acceptor.collect_snapshot(time.time(), retention_s)
         self.storage.write_snapshot(records)
--- a/troutstand/daemon/membership.py
+++ b/troutstand/daemon/membership.py
@@ -1,9 +1,8 @@
-"""Form the keeper set and replace a keeper that lost its disk.
+"""Create the keeper set and replace a keeper that lost its disk.
 
-A replacement takes two steps of the keepers' own agreement. First the lost
-disk leaves and the new one copies without a vote, while every remaining
-keeper must agree to all that is decided. Only when its copy is complete does
-the new disk vote, so that another may be lost right after (issue 4).
+A replacement takes two decided changes. The first removes the lost disk and adds the new one as
+a non-voting member; until its copy is complete, decisions need every remaining keeper. The
+second makes it a voter.
 """
 
 from __future__ import annotations
@@ -40,7 +39,7 @@
     from troutstand.core.stored import StoredRecord
     from troutstand.daemon.keeper import KeeperProcess
 
-_ASK_S = 5.0
+_REQUEST_TIMEOUT_S = 5.0
 
 
 class Membership:
@@ -50,109 +49,115 @@
         self._keeper = keeper
 
     def install(self, keepers: KeeperSet) -> PeerMessage | Awaitable[PeerMessage]:
-        """Make a decided keeper set durable here."""
+        """Store a decided keeper set on this keeper."""
         records = self._keeper.acceptor.install_keepers(keepers)
         self._keeper.registers.update_keepers(keepers)
         if not records:
             return Acknowledged()
         self._keeper.node.events.emit("keepers_installed", epoch=keepers.epoch)
-        return self._install_synced(keepers, records)
+        return self._acknowledge_after_sync(keepers, records)
 
-    async def _install_synced(self, keepers: KeeperSet, records: list[StoredRecord]) -> PeerMessage:
+    async def _acknowledge_after_sync(
+        self, keepers: KeeperSet, records: list[StoredRecord]
+    ) -> PeerMessage:
         await self._keeper.journal.write(records)
         return Acknowledged()
 
-    async def _ask(self, process: str, message: PeerMessage) -> PeerMessage:
-        reply = await self._keeper.ask_keeper(process, message, _ASK_S)
+    async def _send_request(self, process: str, message: PeerMessage) -> PeerMessage:
+        reply = await self._keeper.ask_keeper(process, message, _REQUEST_TIMEOUT_S)
         if isinstance(reply, Refused):
             raise TroutstandError(ResultCode(reply.code), f"{process}: {reply.detail}")
         return reply
 
-    async def _install_everywhere(self, keepers: KeeperSet, needed: frozenset[str]) -> None:
+    async def _install_on_members(self, keepers: KeeperSet, required: frozenset[str]) -> None:
         names = [member.process for member in keepers.members]
-        asks = [self._ask(name, KeepersInstall(keepers)) for name in names]
-        replies = await asyncio.gather(*asks, return_exceptions=True)
+        requests = [self._send_request(name, KeepersInstall(keepers)) for name in names]
+        replies = await asyncio.gather(*requests, return_exceptions=True)
         failed = [n for n, r in zip(names, replies, strict=True) if isinstance(r, BaseException)]
         for name, reply in zip(names, replies, strict=True):
             if isinstance(reply, BaseException):
                 self._keeper.node.events.emit(
                     "keepers_install_failed", peer=name, epoch=keepers.epoch, detail=repr(reply)
                 )
-        if needed & set(failed):
-            detail = f"epoch {keepers.epoch} is not yet at {', '.join(failed)}; repeat the call"
+        if required & set(failed):
+            detail = (
+                f"epoch {keepers.epoch} is not installed on {', '.join(failed)}; repeat the call"
+            )
             raise TroutstandError(ResultCode.KEEPER_CHANGE_REFUSED, detail)
 
     async def make_initial_set(self) -> KeeperSet:
-        """Make all configured keepers the first set; each must be formatted and new."""
+        """Create the first set from all configured keepers, which must be formatted and new."""
         names = sorted(self._keeper.node.peers.keepers | {self._keeper.node.process})
-        replies = [await self._ask(name, KeepersAsk()) for name in names]
+        replies = [await self._send_request(name, KeepersAsk()) for name in names]
         keepers = make_set([r for r in replies if isinstance(r, KeepersReply)])
-        await self._install_everywhere(keepers, frozenset(names))
+        await self._install_on_members(keepers, frozenset(names))
         return keepers
 
     async def replace(self, process: str) -> KeeperSet:
-        """Put a keeper's new disk in the place of its lost one."""
-        reply = await self._ask(process, KeepersAsk())
+        """Replace a keeper's lost disk by its new one."""
+        reply = await self._send_request(process, KeepersAsk())
         if not isinstance(reply, KeepersReply):
             raise TroutstandError(ResultCode.KEEPER_CHANGE_REFUSED, process)
-        keepers = self._require_set()
+        keepers = self._require_keepers()
         member = next((m for m in keepers.members if m.process == process), None)
         is_copying = member is not None and member.state is MemberState.copying
         if not (is_copying and member is not None and member.disk_id == reply.disk_id):
-            keepers = await self._decide(replace_member(keepers, process, reply.disk_id))
-        # Every remaining keeper must refuse the old epoch before the copy
-        # begins; otherwise the copy could miss what the old set decides.
+            keepers = await self._decide_set(replace_member(keepers, process, reply.disk_id))
+        # All remaining keepers must reject the old epoch before the copy starts; otherwise the
+        # copy could miss decisions of the old set.
         others = frozenset(m.process for m in keepers.members if m.process != process)
-        await self._install_everywhere(keepers, others | {process})
-        return self._require_set()
+        await self._install_on_members(keepers, others | {process})
+        return self._require_keepers()
 
-    async def _decide(self, keepers: KeeperSet) -> KeeperSet:
+    async def _decide_set(self, keepers: KeeperSet) -> KeeperSet:
         register = name_keepers_register(keepers.epoch)
         decided = await self._keeper.registers.decide(register, encode_record(keepers))
         winner = decode_record(decided, KeeperSet)
         if winner != keepers:
             raise TroutstandError(
-                ResultCode.KEEPER_CHANGE_REFUSED, f"another change made epoch {winner.epoch}"
+                ResultCode.KEEPER_CHANGE_REFUSED,
+                f"a concurrent change was decided as epoch {winner.epoch}",
             )
         return winner
 
-    def _require_set(self) -> KeeperSet:
+    def _require_keepers(self) -> KeeperSet:
         keepers = self._keeper.acceptor.keepers
         if keepers is None:
-            raise TroutstandError(ResultCode.KEEPER_CHANGE_REFUSED, "no keeper set is formed yet")
+            raise TroutstandError(ResultCode.KEEPER_CHANGE_REFUSED, "there is no keeper set yet")
         return keepers
 
     async def fetch(self, process: str) -> None:
-        """Take the newer keeper set that a peer told of."""
+        """Fetch and install a peer's newer keeper set."""
         try:
-            reply = await self._ask(process, KeepersAsk())
+            reply = await self._send_request(process, KeepersAsk())
         except TroutstandError:
-            # Its next heartbeat tells of the newer set again.
+            # The peer's next heartbeat triggers another fetch.
             return
         if isinstance(reply, KeepersReply) and reply.keepers:
-            pending = self.install(reply.keepers)
-            if isinstance(pending, Awaitable):
-                await pending
+            pending_reply = self.install(reply.keepers)
+            if isinstance(pending_reply, Awaitable):
+                await pending_reply
 
     async def copy_and_join(self) -> None:
-        """Copy every voter's registers to this disk, then have it vote.
+        """Copy every voter's registers to this disk, then promote it to a voter.
 
-        A voter that is still in an older epoch refuses; the next heartbeat
-        tries again.
+        A voter in an older epoch refuses the copy; the next heartbeat retries.
         """
-        keepers = self._require_set()
+        keepers = self._require_keepers()
         for voter in sorted(list_voters(keepers)):
             await self._copy_from(voter, keepers.epoch)
-        promoted = await self._decide(promote_member(keepers, self._keeper.node.process))
-        await self._install_everywhere(promoted, frozenset({self._keeper.node.process}))
+        promoted = await self._decide_set(promote_member(keepers, self._keeper.node.process))
+        await self._install_on_members(promoted, frozenset({self._keeper.node.process}))
         self._keeper.node.events.emit("keeper_joined", epoch=promoted.epoch)
 
     async def _copy_from(self, voter: ProcessId, epoch: int) -> None:
         after = ""
         while True:
-            reply = await self._ask(voter, CopyAsk(epoch, after))
+            reply = await self._send_request(voter, CopyAsk(epoch, after))
             if not isinstance(reply, CopyPage):
-                raise TroutstandError(ResultCode.KEEPER_CHANGE_REFUSED, f"{voter} sent no page")
+                raise TroutstandError(
+                    ResultCode.KEEPER_CHANGE_REFUSED, f"{voter} did not reply with a copy page"
+                )
             acceptor = self._keeper.acceptor
             records = [out for record in reply.records for out in acceptor.merge_record(record)]
             if records:
--- a/troutstand/daemon/registers.py
+++ b/troutstand/daemon/registers.py
@@ -1,4 +1,4 @@
-"""Drive proposals for registers over the links to the keepers."""
+"""Propose and read register values at the keepers by consensus."""
 
 from __future__ import annotations
 
@@ -28,40 +28,40 @@
 
     from troutstand.core.ids import Incarnation, ProcessId, RegisterName
 
-Ask = Callable[[str, PeerMessage, float], Awaitable[PeerMessage]]
+SendMessage = Callable[[str, PeerMessage, float], Awaitable[PeerMessage]]
 
-_BACKOFF_S = 0.01
+_INITIAL_BACKOFF_S = 0.01
 _MAX_BACKOFF_S = 0.2
-_ASK_KEEPERS_S = 1.0
+_KEEPER_SET_TIMEOUT_S = 1.0
 
 
 class RegisterClient:
-    """Propose to and read from registers.
+    """Run ballots for registers at the keepers.
 
     Parameters
     ----------
-    ask
-        Sends a message to a keeper and returns the answer.
+    send
+        Sends a message to a keeper, with a timeout in seconds, and returns the reply.
     seed
-        Spreads the retries of rival proposers.
+        Seeds the jitter of the backoff between ballots.
     """
 
     def __init__(
         self,
-        ask: Ask,
+        send: SendMessage,
         process: ProcessId,
         incarnation: Incarnation,
-        known_keepers: Iterable[ProcessId],
+        configured_keepers: Iterable[ProcessId],
         timeout_s: float,
         seed: int,
     ) -> None:
         self.keepers: KeeperSet | None = None
-        self._ask = ask
-        self._name = f"{process}:{incarnation}"
-        self._known_keepers = sorted(known_keepers)
+        self._send = send
+        self._proposer_id = f"{process}:{incarnation}"
+        self._configured_keepers = sorted(configured_keepers)
         self._timeout_s = timeout_s
-        self._random = random.Random(seed)
-        self._uses = itertools.count(1)
+        self._rng = random.Random(seed)
+        self._ballot_numbers = itertools.count(1)
         self._tasks: set[asyncio.Task[None]] = set()
 
     @property
@@ -70,48 +70,55 @@
         return self.keepers.epoch if self.keepers else 0
 
     def update_keepers(self, keepers: KeeperSet | None) -> None:
-        """Take a newer keeper set."""
+        """Use a keeper set if its epoch is newer."""
         if keepers and keepers.epoch > self.epoch:
             self.keepers = keepers
 
     async def refresh_keepers(self) -> None:
-        """Ask every keeper for the keeper set it knows."""
-        asks = [self._ask(name, KeepersAsk(), _ASK_KEEPERS_S) for name in self._known_keepers]
-        # A silent keeper tells nothing new; a missed majority raises QUORUM_UNREACHABLE.
-        for reply in await asyncio.gather(*asks, return_exceptions=True):
+        """Fetch the newest keeper set from the configured keepers."""
+        requests = [
+            self._send(name, KeepersAsk(), _KEEPER_SET_TIMEOUT_S)
+            for name in self._configured_keepers
+        ]
+        # Unreachable keepers are skipped; without a quorum the operation times out.
+        for reply in await asyncio.gather(*requests, return_exceptions=True):
             if isinstance(reply, KeepersReply):
                 self.update_keepers(reply.keepers)
 
-    async def decide(self, register: RegisterName, value: bytes, fresh: bool = False) -> bytes:
-        """Propose a value and return the one that is decided.
+    async def decide(
+        self, register: RegisterName, value: bytes, use_initial_round: bool = False
+    ) -> bytes:
+        """Propose a value and return the decided one.
 
         Parameters
         ----------
-        fresh
-            Use round 0; only for the register's designated process, once.
+        use_initial_round
+            Start at round 0, which only the register's designated process may use, and only once.
 
         Raises
         ------
         TroutstandError
-            QUORUM_UNREACHABLE; the value may be decided all the same later.
+            QUORUM_UNREACHABLE; the value may still be decided later.
         """
-        result = await self._run(register, value, fresh)
+        result = await self._run_ballots(register, value, use_initial_round)
         assert result is not None
         return result
 
     async def read(self, register: RegisterName) -> bytes | None:
-        """Return the decided value, or None where there is none yet.
+        """Return the decided value, or None if there is none yet.
 
         Raises
         ------
         TroutstandError
             QUORUM_UNREACHABLE.
         """
-        return await self._run(register, None, False)
+        return await self._run_ballots(register, None, False)
 
-    async def _run(self, register: RegisterName, value: bytes | None, fresh: bool) -> bytes | None:
-        round_ = INITIAL_ROUND if fresh else 1
-        backoff_s = _BACKOFF_S
+    async def _run_ballots(
+        self, register: RegisterName, value: bytes | None, use_initial_round: bool
+    ) -> bytes | None:
+        round_ = INITIAL_ROUND if use_initial_round else 1
+        backoff_s = _INITIAL_BACKOFF_S
         try:
             async with asyncio.timeout(self._timeout_s):
                 while True:
@@ -125,7 +132,7 @@
                             return None
                         case Preempted(other):
                             round_ = max(round_, other) + 1
-                    await asyncio.sleep(backoff_s * (0.5 + self._random.random()))
+                    await asyncio.sleep(backoff_s * (0.5 + self._rng.random()))
                     backoff_s = min(_MAX_BACKOFF_S, backoff_s * 2)
         except TimeoutError as error:
             raise TroutstandError(ResultCode.QUORUM_UNREACHABLE, register) from error
@@ -136,20 +143,20 @@
         voters = list_voters(self.keepers)
         if not voters:
             return None
-        ballot = Ballot(round_, f"{self._name}:{next(self._uses)}")
+        ballot = Ballot(round_, f"{self._proposer_id}:{next(self._ballot_numbers)}")
         proposer = Proposer(register, value, ballot, self.epoch, voters)
         step = proposer.start()
         while isinstance(step, Broadcast):
-            step = await self._collect(proposer, step, voters)
+            step = await self._broadcast(proposer, step, voters)
         return step
 
-    async def _collect(
+    async def _broadcast(
         self, proposer: Proposer, step: Broadcast, voters: frozenset[ProcessId]
     ) -> Broadcast | Decided | NoValue | Preempted | None:
-        """Send a step to the voters and return what their replies lead to."""
+        """Send a step to the voters and return the next step, or None without a quorum."""
         replies: asyncio.Queue[tuple[ProcessId, PeerMessage | None]] = asyncio.Queue()
         for voter in voters:
-            task = asyncio.create_task(self._ask_one(voter, step, replies))
+            task = asyncio.create_task(self._send_step(voter, step, replies))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
         for _ in voters:
@@ -158,12 +165,12 @@
                 self.update_keepers(reply.keepers)
             if not isinstance(reply, Promise | Accepted):
                 continue
-            following = proposer.receive(keeper, reply)
-            if following is not None:
-                return following
+            next_step = proposer.receive(keeper, reply)
+            if next_step is not None:
+                return next_step
         return None
 
-    async def _ask_one(
+    async def _send_step(
         self,
         keeper: ProcessId,
         step: Broadcast,
@@ -171,8 +178,8 @@
     ) -> None:
         reply: PeerMessage | None = None
         try:
-            reply = await self._ask(keeper, step.message, self._timeout_s)
+            reply = await self._send(keeper, step.message, self._timeout_s)
         except TroutstandError:
-            # A silent keeper does not vote; a missed majority raises QUORUM_UNREACHABLE.
+            # An unreachable keeper does not vote; without a quorum the operation times out.
             reply = None
         replies.put_nowait((keeper, reply))
--- a/troutstand/daemon/servicecalls.py
+++ b/troutstand/daemon/servicecalls.py
@@ -125,9 +125,9 @@
         target = grant.target
         self._entry.events.emit("command_dispatched", request, target=target, key=call.command_key)
         try:
-            reply = await self._request(call, grant, call.key)
+            reply = await self._send_to_target(call, grant, call.key)
         except TroutstandError as error:
-            # _request has logged target_failed.
+            # _send_to_target has logged target_failed.
             if error.code is ResultCode.TARGET_UNREACHABLE:
                 return make_not_run_outcome(error.code)
             return UNKNOWN_OUTCOME
@@ -141,7 +141,7 @@
             try:
                 grant = await self._place(call, request, tried)
                 tried.append(grant.target)
-                reply = await self._request(call, grant, request)
+                reply = await self._send_to_target(call, grant, request)
                 if not reply.notice.rest_s or len(tried) >= MAX_ATTEMPTS:
                     return reply
             except TroutstandError as error:
@@ -165,7 +165,7 @@
         )
         return await self._entry.placement.place(ask, lambda _: None)
 
-    async def _request(self, call: ServiceCall, grant: Grant, request: str) -> Reply:
+    async def _send_to_target(self, call: ServiceCall, grant: Grant, request: str) -> Reply:
         started_s = read_clock_s()
         ok = is_truncated = is_target_gone = False
         fault = ""
