--- a/troutstand/routing/relay.py
+++ b/troutstand/routing/relay.py
@@ -209,23 +209,23 @@
         connection = await self._pool.acquire(placed.address, max_idle_s)
         started_s = read_clock_s()
         try:
-            head = self._write_head(outgoing, placed, deadline_s - started_s)
-            connection.send(head, outgoing.body, outgoing.method == "HEAD")
-            answer = await connection.receive_head()
+            request_head = self._encode_head(outgoing, placed, deadline_s - started_s)
+            connection.send(request_head, outgoing.body, outgoing.method == "HEAD")
+            head = await connection.receive_head()
         except BaseException:
             connection.abort()
             raise
-        notice = parse_notice(answer.status, answer.get, self._names, placed.target, placed.born_ms)
+        notice = parse_notice(head.status, head.get, self._names, placed.target, placed.born_ms)
         self._notices.handle_notice(outgoing.request, notice, started_s)
-        sent = SentRequest(placed, connection, answer, started_s, read_clock_s() - started_s)
+        sent = SentRequest(placed, connection, head, started_s, read_clock_s() - started_s)
         try:
-            self._check_head(outgoing, answer, notice)
+            self._check_head(outgoing, head, notice)
         except SendError as error:
             await self._drain_rejection(sent, error)
             raise
         return sent
 
-    def _write_head(self, outgoing: OutgoingRequest, placed: Placed, remaining_s: float) -> bytes:
+    def _encode_head(self, outgoing: OutgoingRequest, placed: Placed, remaining_s: float) -> bytes:
         remaining_ms = max(1, int(remaining_s * 1000))
         headers = [
             *outgoing.headers,
