--- a/troutstand/routing/pendingplacement.py
+++ b/troutstand/routing/pendingplacement.py
@@ -16,7 +16,7 @@
 
 @dataclass
 class PendingPlacement:
-    """A request that waits for a decision; times in seconds on the monotonic clock."""
+    """A request that waits for a decision; times in seconds on the process clock."""
 
     work: RoutedWork
     started_s: float
--- a/troutstand/routing/relay.py
+++ b/troutstand/routing/relay.py
@@ -121,7 +121,7 @@
 
 @dataclass
 class SentRequest:
-    """A request in flight at a target; times in seconds on the monotonic clock."""
+    """A request in flight at a target; times in seconds on the process clock."""
 
     placed: Placed
     connection: TargetConnection
