--- a/benchmarks/decider.py
+++ b/benchmarks/decider.py
@@ -94,7 +94,7 @@
     async def attach(self) -> None:
         """Attach each gateway and go on with heartbeats."""
         for link in self._links:
-            await link.wait_up()
+            await link.wait_until_up()
         self._tasks += [asyncio.create_task(self._beat(link)) for link in self._links]
 
     async def _beat(self, link: Link) -> None:
--- a/troutstand/daemon/admin.py
+++ b/troutstand/daemon/admin.py
@@ -140,11 +140,11 @@
 
     def _list_hosts(self, version: int) -> list[HostReport]:
         hosts = []
-        latest_heartbeats = self._node.peers.heard
+        latest_heartbeats = self._node.peers.heartbeats
         newest = max(
             [version, *(latest.heartbeat.version for latest in latest_heartbeats.values())]
         )
-        for peer in sorted(self._node.peers.known):
+        for peer in sorted(self._node.peers.process_ids):
             latest = latest_heartbeats.get(peer)
             if latest is None:
                 hosts.append(HostReport(peer, "unheard", 0, None, is_behind=True))
@@ -155,7 +155,7 @@
                     process=peer,
                     state=heartbeat.state.value,
                     version=heartbeat.version,
-                    heard_s=read_clock_s() - latest.at_s,
+                    heard_s=read_clock_s() - latest.received_s,
                     scheduling=heartbeat.scheduling,
                     is_behind=heartbeat.version < newest,
                 )
--- a/troutstand/daemon/callerapi.py
+++ b/troutstand/daemon/callerapi.py
@@ -12,7 +12,12 @@
 from troutstand.core.errors import TroutstandError
 from troutstand.daemon.enginerequests import EngineRequests
 from troutstand.daemon.errorresponse import make_error_response
-from troutstand.daemon.requests import read_attempt, read_body, read_engine_request, read_key
+from troutstand.daemon.requests import (
+    get_idempotency_key,
+    parse_attempt,
+    parse_engine_request,
+    read_body,
+)
 from troutstand.daemon.servicecalls import ServiceCall, ServiceCallHandler
 from troutstand.generated.messages import ProcessState
 from troutstand.util.listening import abort_response, has_response_started
@@ -110,7 +115,7 @@
     def _admit(self, request: web.Request) -> Caller:
         match self._entry.node.state:
             case ProcessState.serving:
-                return self._entry.directory.check_caller(request)
+                return self._entry.table_index.authorize_caller(request)
             case ProcessState.starting:
                 raise TroutstandError(ResultCode.STARTING, retry_after_s=_RETRY_AFTER_S)
             case _:
@@ -119,7 +124,7 @@
     async def _serve_engine(self, request: web.Request) -> web.StreamResponse:
         caller = self._admit(request)
         body = await read_body(request, self._entry.settings.limits)
-        parsed = read_engine_request(request, body, caller, self._entry.directory)
+        parsed = parse_engine_request(request, body, caller, self._entry.table_index)
         request["request_id"], request["tier"] = parsed.request, caller.tier.name
         self._entry.events.emit(
             "request_received",
@@ -135,11 +140,11 @@
     async def _serve_service(self, request: web.Request) -> web.StreamResponse:
         caller = self._admit(request)
         name = request.match_info["service"]
-        service = self._entry.directory.services.get(name)
+        service = self._entry.table_index.services.get(name)
         if service is None:
             raise TroutstandError(ResultCode.SERVICE_UNKNOWN, f"service {name[:64]!r}")
         body = await read_body(request, self._entry.settings.limits)
-        key, is_key_generated = read_key(request)
+        key, is_key_generated = get_idempotency_key(request)
         call = ServiceCall(
             key=key,
             is_key_generated=is_key_generated,
@@ -149,14 +154,14 @@
             path="/" + request.match_info["path"],
             body=body,
             content_type=request.headers.get("Content-Type", _DEFAULT_CONTENT_TYPE),
-            attempt=1 if is_key_generated else read_attempt(request),
+            attempt=1 if is_key_generated else parse_attempt(request),
         )
         request["tier"] = caller.tier.name
         return await self._service_calls.serve(call)
 
     async def _list_models(self, request: web.Request) -> web.StreamResponse:
         self._admit(request)
-        listed = [ListedModel(name) for name in sorted(self._entry.directory.models)]
+        listed = [ListedModel(name) for name in sorted(self._entry.table_index.models)]
         return web.Response(
             body=msgspec.json.encode(ModelList(listed)), content_type="application/json"
         )
--- a/troutstand/daemon/configuration.py
+++ b/troutstand/daemon/configuration.py
@@ -97,7 +97,7 @@
         A peer that misses the message pulls the changes after the next heartbeat.
         """
         behind = []
-        for process, latest in self._peers.heard.items():
+        for process, latest in self._peers.heartbeats.items():
             # Heartbeats can be older than the version sent to the peer last.
             known_version = max(latest.heartbeat.version, self._sent_versions.get(process, 0))
             if before <= known_version < self.version:
--- a/troutstand/daemon/enginerequests.py
+++ b/troutstand/daemon/enginerequests.py
@@ -69,8 +69,8 @@
         tier = request.caller.tier
         deadline_s = read_clock_s() + tier.deadline_s
         state = _RequestState(request, deadline_s, asyncio.current_task())
-        if not request.minted:
-            self._exclude(state, await self._entry.tried_targets.collect(request.tried_key))
+        if not request.is_key_generated:
+            self._exclude(state, await self._entry.tried_targets.collect(request.workspace_key))
         try:
             while True:
                 response = await self._try_target(http, state)
@@ -94,7 +94,7 @@
         grant = await self._place(state)
         if not await self._record_target(state, grant):
             return None
-        target = self._entry.directory.targets.get(grant.target)
+        target = self._entry.table_index.targets.get(grant.target)
         backend = self._entry.find_backend(grant.target)
         if target is None or not isinstance(backend, EngineBackend):
             self._entry.placement.finish(Finished(grant.request, grant.target, False))
@@ -129,9 +129,11 @@
     async def _record_target(self, state: _RequestState, grant: Grant) -> bool:
         """Record a keyed request's target; return whether it is new for the key."""
         request = state.request
-        if request.minted:
+        if request.is_key_generated:
             return True
-        earlier_targets = await self._entry.tried_targets.record(request.tried_key, grant.target)
+        earlier_targets = await self._entry.tried_targets.record(
+            request.workspace_key, grant.target
+        )
         if grant.target not in earlier_targets:
             return True
         self._entry.placement.finish(Finished(grant.request, grant.target, False))
--- a/troutstand/daemon/entry.py
+++ b/troutstand/daemon/entry.py
@@ -19,7 +19,7 @@
 from troutstand.daemon.node import Node
 from troutstand.daemon.placement import Placement
 from troutstand.daemon.registers import RegisterClient
-from troutstand.daemon.requests import Directory
+from troutstand.daemon.requests import TableIndex
 from troutstand.daemon.triedtargets import TriedTargets
 from troutstand.generated.messages import (
     Acknowledged,
@@ -62,7 +62,7 @@
         self.settings = settings
         self.node = Node(settings)
         self.events = self.node.events
-        self.directory = Directory()
+        self.table_index = TableIndex()
         self.follower = Follower()
         limits = settings.limits
         self.registers = RegisterClient(
@@ -198,7 +198,7 @@
         )
 
     def _handle_heartbeat(self, heartbeat: Heartbeat) -> None:
-        self.node.hear(heartbeat)
+        self.node.record_heartbeat(heartbeat)
         process = ProcessId(heartbeat.process)
         if process in self.node.peers.domain_entries:
             self.scheduling.follow_scheduler()
@@ -245,7 +245,7 @@
         now_s = read_clock_s()
         lease_s = self.settings.limits.lease_s
         for keeper in self.node.peers.domain_keepers:
-            latest = self.node.peers.heard.get(keeper)
+            latest = self.node.peers.heartbeats.get(keeper)
             if latest is None or not latest.heartbeat.complete:
                 continue
             if not self.node.peers.is_live(keeper, now_s, lease_s):
@@ -264,15 +264,15 @@
     def _update_table(self) -> None:
         if self.node.state is ProcessState.starting:
             return
-        self.directory.update(self.follower.table)
+        self.table_index.update(self.follower.table)
         self.scheduling.update_table()
-        targets = self.directory.targets
+        targets = self.table_index.targets
         for name, row in targets.items():
             backend = self._backends.get(name)
             if backend is None or backend.row != row:
                 is_engine = row.protocol is Protocol.engine
                 backend_class = EngineBackend if is_engine else ServiceBackend
-                on_notice = self.placement.hear_target
+                on_notice = self.placement.handle_notice
                 self._backends[name] = backend_class(row, self.session, on_notice)
         for name in set(self._backends) - set(targets):
             del self._backends[name]
--- a/troutstand/daemon/keeper.py
+++ b/troutstand/daemon/keeper.py
@@ -15,7 +15,7 @@
 from troutstand.core.lease import LeaseVoter
 from troutstand.daemon.configuration import Configuration
 from troutstand.daemon.journal import Journal
-from troutstand.daemon.links import ask_oneself
+from troutstand.daemon.links import handle_locally
 from troutstand.daemon.membership import Membership
 from troutstand.daemon.node import Node
 from troutstand.daemon.registers import RegisterClient
@@ -123,7 +123,7 @@
         """Send a message to a keeper, possibly this one, and return its reply."""
         if process != self.node.process:
             return await self.node.peers.ask(process, message, timeout_s)
-        return await ask_oneself(self.handle, self.node.process, message)
+        return await handle_locally(self.handle, self.node.process, message)
 
     def handle(
         self, peer: ProcessId, message: PeerMessage
@@ -189,7 +189,7 @@
         await self.journal.write([StoredTable(version, table)])
 
     def _handle_heartbeat(self, heartbeat: Heartbeat) -> None:
-        self.node.hear(heartbeat)
+        self.node.record_heartbeat(heartbeat)
         process = ProcessId(heartbeat.process)
         if process in self.node.peers.keepers:
             self._record_peer_disk(heartbeat)
--- a/troutstand/daemon/leasedscheduler.py
+++ b/troutstand/daemon/leasedscheduler.py
@@ -141,10 +141,10 @@
             for peer in peers.domain_entries
             if peer != self._node.process
             and peers.is_live(peer, now_s, self._lease_s)
-            and peers.heard[peer].heartbeat.state is ProcessState.serving
+            and peers.heartbeats[peer].heartbeat.state is ProcessState.serving
             and not peers.is_refused(peer)
         ]
-        if any(peers.heard[peer].heartbeat.scheduling for peer in live):
+        if any(peers.heartbeats[peer].heartbeat.scheduling for peer in live):
             return False
         return all(self._node.process < peer for peer in live)
 
@@ -184,7 +184,7 @@
         elif not is_held and self.scheduler is not None:
             self._stop_scheduler("lease_lost")
         elif self.scheduler is None:
-            self._placement.follow(self._find_scheduler())
+            self._placement.switch_scheduler(self._find_scheduler())
 
     def _find_scheduler(self) -> ProcessId | None:
         now_s = read_clock_s()
@@ -193,15 +193,15 @@
             peer
             for peer in peers.domain_entries - {self._node.process}
             if peers.is_live(peer, now_s, self._lease_s)
-            and peers.heard[peer].heartbeat.scheduling
+            and peers.heartbeats[peer].heartbeat.scheduling
             and not peers.is_refused(peer)
         ]
-        return max(holders, key=lambda peer: peers.heard[peer].at_s, default=None)
+        return max(holders, key=lambda peer: peers.heartbeats[peer].received_s, default=None)
 
     def follow_scheduler(self) -> None:
         """Send placements to the scheduler that the latest heartbeats name."""
         if self.scheduler is None:
-            self._placement.follow(self._find_scheduler())
+            self._placement.switch_scheduler(self._find_scheduler())
 
     def _make_scheduler(self) -> Scheduler:
         settings, seed, now_s = self._node.settings, self._node.seed, read_clock_s()
@@ -217,13 +217,13 @@
         self.scheduler.update_leaving(self._leaving)
         self._node.events.emit("scheduler_started", domain=self._domain)
         self._node.send_heartbeats()
-        self._placement.follow(self._node.process)
+        self._placement.switch_scheduler(self._node.process)
 
     def _stop_scheduler(self, reason: str) -> None:
         self.scheduler = None
         self._node.events.emit("scheduler_ended", domain=self._domain, reason=reason)
         self._node.send_heartbeats()
-        self._placement.follow(self._find_scheduler())
+        self._placement.switch_scheduler(self._find_scheduler())
 
     def step_down(self) -> None:
         """Release the lease before a shutdown, without waiting for it to expire."""
--- a/troutstand/daemon/links.py
+++ b/troutstand/daemon/links.py
@@ -66,7 +66,7 @@
     process: ProcessId
     key: bytes
 
-    def prove(self, process: str, challenge: bytes, nonce: bytes) -> bytes:
+    def compute_proof(self, process: str, challenge: bytes, nonce: bytes) -> bytes:
         """Make the proof that a process answers a challenge with."""
         text = b"|".join([self.site.encode(), process.encode(), challenge, nonce])
         return hmac.digest(self.key, text, "sha256")
@@ -159,14 +159,14 @@
             greeting = convert_record(cbor2.loads(data), Greeting)
         except Exception as error:
             raise TroutstandError(ResultCode.LINK_REFUSED, "the greeting is malformed") from error
-        proof = self._identity.prove(greeting.process, challenge, greeting.nonce)
+        proof = self._identity.compute_proof(greeting.process, challenge, greeting.nonce)
         if not hmac.compare_digest(proof, greeting.proof) or greeting.site != self._identity.site:
             raise TroutstandError(ResultCode.LINK_REFUSED, f"wrong key from {greeting.process!r}")
         # Without a list, whoever knows the site's key is a peer.
         if self._peers is not None and greeting.process not in self._peers:
             raise TroutstandError(ResultCode.LINK_REFUSED, f"unknown host {greeting.process!r}")
         own = self._identity.process
-        await socket.send(self._identity.prove(own, greeting.nonce, challenge))
+        await socket.send(self._identity.compute_proof(own, greeting.nonce, challenge))
         return ProcessId(greeting.process)
 
     async def _read(
@@ -223,7 +223,7 @@
             await socket.send(await queue.get())
 
 
-async def ask_oneself(handler: Handler, own: ProcessId, message: PeerMessage) -> PeerMessage:
+async def handle_locally(handler: Handler, own: ProcessId, message: PeerMessage) -> PeerMessage:
     """Return a process's own answer to a message.
 
     Raises
@@ -271,8 +271,8 @@
     traffic: Traffic
     is_up: bool = False
     is_refused: bool = False
-    from_ip: str = ""
-    probe_s: float | None = None
+    bind_ip: str = ""
+    ping_interval_s: float | None = None
     on_refused: Callable[[ProcessId], None] | None = None
     _sequence: int = 0
     _asks: dict[int, asyncio.Future[PeerMessage]] = field(default_factory=dict)
@@ -284,7 +284,7 @@
     def __post_init__(self) -> None:
         self._queue = asyncio.Queue(self.limits.link_queue_messages)
 
-    async def wait_up(self) -> None:
+    async def wait_until_up(self) -> None:
         """Return once the link is open."""
         await self._up.wait()
 
@@ -324,11 +324,11 @@
             max_size=self.limits.message_bytes,
             compression=None,
             open_timeout=self.limits.lease_s,
-            ping_interval=self.probe_s or self.limits.lease_s,
+            ping_interval=self.ping_interval_s or self.limits.lease_s,
             ping_timeout=self.limits.lease_s,
             close_timeout=self.limits.lease_s,
             proxy=None,
-            local_addr=(self.from_ip, 0) if self.from_ip else None,
+            local_addr=(self.bind_ip, 0) if self.bind_ip else None,
         ) as socket:
             await asyncio.wait_for(self._greet(socket), self.limits.lease_s)
             self.is_up, self.is_refused, self._was_up = True, False, True
@@ -350,11 +350,11 @@
             raise TroutstandError(ResultCode.LINK_REFUSED, "the challenge is malformed")
         nonce = secrets.token_bytes(_NONCE_BYTES)
         own = self.identity.process
-        proof = self.identity.prove(own, challenge, nonce)
+        proof = self.identity.compute_proof(own, challenge, nonce)
         greeting = Greeting(self.identity.site, own, nonce, proof)
         await socket.send(cbor2.dumps(msgspec.to_builtins(greeting, builtin_types=(bytes,))))
         answer = await socket.recv()
-        expected = self.identity.prove(self.peer, nonce, challenge)
+        expected = self.identity.compute_proof(self.peer, nonce, challenge)
         if not isinstance(answer, bytes) or not hmac.compare_digest(answer, expected):
             raise TroutstandError(ResultCode.LINK_REFUSED, f"{self.peer} has another key")
 
--- a/troutstand/daemon/node.py
+++ b/troutstand/daemon/node.py
@@ -12,7 +12,7 @@
 from troutstand.core.errors import TroutstandError
 from troutstand.core.ids import Incarnation, ProcessId, name_process
 from troutstand.daemon.links import Identity, LinkServer
-from troutstand.daemon.peers import Heard, Peers
+from troutstand.daemon.peers import Peers, ReceivedHeartbeat
 from troutstand.generated.messages import Heartbeat, Outcome, ProcessState
 from troutstand.util.clock import read_clock_s, watch_suspends
 from troutstand.util.events import EventBus, open_log
@@ -54,14 +54,16 @@
         if self.settings.statsd:
             self.events.enable_metrics(self.settings.statsd)
         limits = self.settings.limits
-        self._server = LinkServer(self.identity, self.peers.known, limits, self.events, handler)
+        self._server = LinkServer(
+            self.identity, self.peers.process_ids, limits, self.events, handler
+        )
         try:
             await self._server.start(self.settings.link)
         except OSError as error:
             address = f"link {self.settings.link.ip}:{self.settings.link.port}: {error}"
             raise TroutstandError(ResultCode.ADDRESS_IN_USE, address) from error
-        for task in self.peers.list_runs():
-            self.keep_task(task)
+        for task in self.peers.start_links():
+            self.track_task(task)
         self.spawn(watch_suspends(self._note_suspended), "suspends")
         self.events.emit("process_started", incarnation=self.incarnation)
 
@@ -70,14 +72,14 @@
 
     def spawn(self, coroutine: Coroutine[None, None, None], name: str) -> None:
         """Run a coroutine until the process stops."""
-        self.keep_task(asyncio.create_task(coroutine, name=name))
+        self.track_task(asyncio.create_task(coroutine, name=name))
 
-    def keep_task(self, task: asyncio.Task[None]) -> None:
+    def track_task(self, task: asyncio.Task[None]) -> None:
         """Keep a task alive and report it if it fails."""
         self._tasks.add(task)
         task.add_done_callback(self._report_task)
 
-    def keep_command(self, task: asyncio.Task[Outcome]) -> None:
+    def track_command(self, task: asyncio.Task[Outcome]) -> None:
         """Keep a command's task alive; its caller, if still there, reports it."""
         self._commands.add(task)
         task.add_done_callback(self._forget_command)
@@ -112,10 +114,10 @@
 
     def send_heartbeats(self) -> None:
         """Tell every peer what this process is and knows."""
-        for peer in self.peers.known:
+        for peer in self.peers.process_ids:
             self.peers.send(peer, self.make_heartbeat(peer))
 
-    def hear(self, heartbeat: Heartbeat) -> None:
+    def record_heartbeat(self, heartbeat: Heartbeat) -> None:
         """Note a peer's heartbeat."""
         process = ProcessId(heartbeat.process)
-        self.peers.heard[process] = Heard(heartbeat, read_clock_s())
+        self.peers.heartbeats[process] = ReceivedHeartbeat(heartbeat, read_clock_s())
--- a/troutstand/daemon/peers.py
+++ b/troutstand/daemon/peers.py
@@ -21,11 +21,11 @@
 
 
 @dataclass(frozen=True)
-class Heard:
+class ReceivedHeartbeat:
     """Keep a peer's latest heartbeat and when it came."""
 
     heartbeat: Heartbeat
-    at_s: float
+    received_s: float
 
 
 class Peers:
@@ -34,7 +34,7 @@
     def __init__(self, settings: Settings, identity: Identity, events: EventBus) -> None:
         self.identity = identity
         self.traffic = Traffic()
-        self.heard: dict[ProcessId, Heard] = {}
+        self.heartbeats: dict[ProcessId, ReceivedHeartbeat] = {}
         self.links: dict[ProcessId, Link] = {}
         self.keepers: set[ProcessId] = set()
         self.domain_entries: set[ProcessId] = set()
@@ -53,11 +53,11 @@
                 )
 
     @property
-    def known(self) -> frozenset[ProcessId]:
+    def process_ids(self) -> frozenset[ProcessId]:
         """Return every other process of the site."""
         return frozenset(self.links)
 
-    def list_runs(self) -> list[asyncio.Task[None]]:
+    def start_links(self) -> list[asyncio.Task[None]]:
         """Start to keep every link open and return the tasks."""
         return [asyncio.create_task(link.run(), name=f"link {p}") for p, link in self.links.items()]
 
@@ -68,8 +68,8 @@
 
     def is_live(self, process: ProcessId, now_s: float, within_s: float) -> bool:
         """Tell whether a process was heard lately."""
-        heard = self.heard.get(process)
-        return heard is not None and now_s - heard.at_s <= within_s
+        heard = self.heartbeats.get(process)
+        return heard is not None and now_s - heard.received_s <= within_s
 
     def send(self, process: str, message: PeerMessage) -> bool:
         """Send a message without an answer; tell whether it was queued."""
--- a/troutstand/daemon/placement.py
+++ b/troutstand/daemon/placement.py
@@ -85,16 +85,16 @@
         """Return how many requests wait for a grant."""
         return len(self._pending)
 
-    def follow(self, scheduler: ProcessId | None) -> None:
+    def switch_scheduler(self, scheduler: ProcessId | None) -> None:
         """Turn to another scheduler: tell it what runs, then what waits."""
         if scheduler == self.scheduler:
             return
         self.scheduler = scheduler
         self.events.emit("scheduler_followed", scheduler=scheduler)
         if scheduler is not None:
-            self.report()
+            self.resend_requests()
 
-    def report(self) -> None:
+    def resend_requests(self) -> None:
         """Tell the scheduler everything that runs and waits here."""
         running = [run.item for run in self._running.values()]
         now_s = read_clock_s()
@@ -142,7 +142,7 @@
         self._running.pop(finished.request, None)
         self._send(finished)
 
-    def hear_target(self, request: str, notice: TargetNotice, asked_s: float) -> None:
+    def handle_notice(self, request: str, notice: TargetNotice, asked_s: float) -> None:
         """Take what the answer to a request, sent at a time, says of its target.
 
         The scheduler is told at once: the end of a stream may be far off.
--- a/troutstand/daemon/requests.py
+++ b/troutstand/daemon/requests.py
@@ -72,7 +72,7 @@
     """Carry a checked request for a model."""
 
     key: str
-    minted: bool
+    is_key_generated: bool
     request: str
     caller: Caller
     path: str
@@ -86,7 +86,7 @@
     prefixes: Prefixes
 
     @property
-    def tried_key(self) -> str:
+    def workspace_key(self) -> str:
         """Return the key that names the request within its workspace."""
         return f"{self.caller.workspace.name}/{self.key}"
 
@@ -97,7 +97,7 @@
 
 
 @dataclass
-class Directory:
+class TableIndex:
     """Index the table for the checks that every request needs."""
 
     workspaces: dict[str, Workspace] = field(default_factory=dict)
@@ -114,7 +114,7 @@
         self.services = table.select(Service)
         self.targets = table.select(Target)
 
-    def check_caller(self, request: web.Request) -> Caller:
+    def authorize_caller(self, request: web.Request) -> Caller:
         """Find the caller's workspace and tier.
 
         Raises
@@ -144,7 +144,7 @@
         return Caller(workspace, tier)
 
 
-def read_key(request: web.Request) -> tuple[str, bool]:
+def get_idempotency_key(request: web.Request) -> tuple[str, bool]:
     """Return the request's key and whether it was made here.
 
     Raises
@@ -162,7 +162,7 @@
     return key, False
 
 
-def read_attempt(request: web.Request) -> int:
+def parse_attempt(request: web.Request) -> int:
     """Return which attempt at its key the caller numbers this sending as, from 1.
 
     A caller never lowers the number; the retry counts of client libraries,
@@ -238,8 +238,8 @@
     return asked
 
 
-def read_engine_request(
-    request: web.Request, body: bytes, caller: Caller, directory: Directory
+def parse_engine_request(
+    request: web.Request, body: bytes, caller: Caller, table_index: TableIndex
 ) -> EngineRequest:
     """Check a request for a model.
 
@@ -248,7 +248,7 @@
     TroutstandError
         BODY_MALFORMED, FIELD_INVALID, MODEL_UNKNOWN or KEY_INVALID.
     """
-    key, minted = read_key(request)
+    key, is_key_generated = get_idempotency_key(request)
     is_chat = request.path.endswith("/chat/completions")
     if is_chat:
         plain, chat = _decode_body(body, ChatBody)
@@ -258,7 +258,7 @@
         plain, completion = _decode_body(body, CompletionBody)
         text, name, stream = _join_content(completion.prompt), completion.model, completion.stream
         asked = completion.max_tokens
-    model = directory.models.get(name)
+    model = table_index.models.get(name)
     if model is None:
         raise TroutstandError(ResultCode.MODEL_UNKNOWN, f"model {name[:64]!r}")
     answer_tokens = _check_answer_tokens(asked, model)
@@ -270,7 +270,7 @@
     plain["stream_options"] = {"include_usage": True}
     return EngineRequest(
         key=key,
-        minted=minted,
+        is_key_generated=is_key_generated,
         request=secrets.token_hex(_KEY_BYTES),
         caller=caller,
         path=request.path,
--- a/troutstand/daemon/servicecalls.py
+++ b/troutstand/daemon/servicecalls.py
@@ -87,7 +87,7 @@
             return _make_response(await self._send_with_retries(call), call.key)
         # A command continues after its caller disconnects: a resend gets the recorded outcome.
         task = asyncio.create_task(self._run_command(call))
-        self._entry.node.keep_command(task)
+        self._entry.node.track_command(task)
         outcome = await asyncio.shield(task)
         return _make_response(outcome, call.key)
 
--- a/troutstand/routing/keeper.py
+++ b/troutstand/routing/keeper.py
@@ -14,7 +14,7 @@
 from troutstand.core.compression import compress, decompress
 from troutstand.core.errors import TroutstandError
 from troutstand.core.membership import INITIAL_DISK_ID, make_initial_set
-from troutstand.daemon.links import ask_oneself
+from troutstand.daemon.links import handle_locally
 from troutstand.daemon.registers import RegisterClient
 from troutstand.daemon.storage import Storage, format_folder, read_identity, replace_identity
 from troutstand.generated.messages import (
@@ -174,7 +174,7 @@
         """Send a request to a keeper, possibly this one, and return its reply."""
         if process != self.node.process:
             return await self.node.ask(process, message, timeout_s)
-        return await ask_oneself(self.handle, self.node.process, message)
+        return await handle_locally(self.handle, self.node.process, message)
 
     def handle(
         self, peer: ProcessId, message: PeerMessage
--- a/troutstand/routing/node.py
+++ b/troutstand/routing/node.py
@@ -184,8 +184,8 @@
             _LINK_LIMITS,
             self.events,
             self.traffic,
-            from_ip=self.settings.bind_ip,
-            probe_s=_MANY_LINKS_PROBE_PERIOD_S
+            bind_ip=self.settings.bind_ip,
+            ping_interval_s=_MANY_LINKS_PROBE_PERIOD_S
             if self.settings.disks_lost >= _MANY_LOST_COUNT
             else None,
             on_refused=self._handle_refused,
@@ -232,7 +232,7 @@
             # The return value reports the timeout.
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(_CONNECT_TIMEOUT_S):
-                    await link.wait_up()
+                    await link.wait_until_up()
         return link.is_up
 
     async def ask_for(
--- a/troutstand/tests/steps/callers.py
+++ b/troutstand/tests/steps/callers.py
@@ -248,7 +248,7 @@
     # while the message is still being written, and would hide how it was closed.
     link = await connect(f"ws://{address.ip}:{address.port}/", proxy=None)
     challenge = await link.recv()
-    proof = identity.prove(identity.process, challenge, b"nonce")
+    proof = identity.compute_proof(identity.process, challenge, b"nonce")
     greeting = Greeting(identity.site, identity.process, b"nonce", proof)
     await link.send(cbor2.dumps(msgspec.to_builtins(greeting, builtin_types=(bytes,))))
     try:
@@ -298,10 +298,10 @@
     running = asyncio.create_task(link.run())
     try:
         async with asyncio.timeout(_LINK_BACK_S):
-            await link.wait_up()
+            await link.wait_until_up()
             assert link.send(large)
             await is_lost.wait()
-            await link.wait_up()
+            await link.wait_until_up()
     finally:
         running.cancel()
         await server.stop()
--- a/troutstand/tests/steps/domaincrashes.py
+++ b/troutstand/tests/steps/domaincrashes.py
@@ -157,7 +157,7 @@
         placement.receive(before.shed[name])
         error = (await asyncio.gather(asking, return_exceptions=True))[0]
         assert isinstance(error, TroutstandError), error
-        placement.follow(_PROCESS)
+        placement.switch_scheduler(_PROCESS)
 
     asyncio.run(ask())
     after = Driver(context.rows)
--- a/troutstand/tests/steps/domainlimits.py
+++ b/troutstand/tests/steps/domainlimits.py
@@ -142,8 +142,8 @@
 
     placement = Placement(PROCESS, EventBus(PROCESS, HybridClock(lambda: 0)), deliver)
     context.said = TargetNotice(_name_first(context), limit_per_s=limit_per_s)
-    placement.hear_target("r-1", context.said, 0.0)
-    placement.follow(PROCESS)
+    placement.handle_notice("r-1", context.said, 0.0)
+    placement.switch_scheduler(PROCESS)
     context.driver = Driver(context.rows)
     report = next(message for message in sent if isinstance(message, RunningReport))
     context.driver.take(context.driver.scheduler.apply_report(report, context.driver.now_s))
--- a/troutstand/tests/steps/domainrests.py
+++ b/troutstand/tests/steps/domainrests.py
@@ -169,8 +169,8 @@
         return True
 
     placement = Placement(PROCESS, EventBus(PROCESS, HybridClock(lambda: 0)), deliver)
-    placement.hear_target("r-1", context.turned_away, read_clock_s())
-    placement.follow(PROCESS)
+    placement.handle_notice("r-1", context.turned_away, read_clock_s())
+    placement.switch_scheduler(PROCESS)
     context.driver = Driver(context.rows)
     report = next(message for message in sent if isinstance(message, RunningReport))
     context.driver.take(context.driver.scheduler.apply_report(report, context.driver.now_s))
