--- a/troutstand/core/targetstate.py
+++ b/troutstand/core/targetstate.py
@@ -33,7 +33,7 @@
 
 @dataclass
 class RunningRequest:
-    """Describe one request in flight at a target; times in seconds on the monotonic clock."""
+    """Describe one request in flight at a target; times in seconds on the steady clock."""
 
     work: RoutedWork
     owner: str
--- a/troutstand/routing/calls.py
+++ b/troutstand/routing/calls.py
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True)
 class Call:
-    """Hold one parsed request; times in seconds on the monotonic clock."""
+    """Hold one parsed request; times in seconds on the steady clock."""
 
     request: str
     route: Route
