--- a/benchmarks/restart.py
+++ b/benchmarks/restart.py
@@ -62,7 +62,7 @@
             _write(folder, changes)
             start_s = time.perf_counter()
             storage, acceptor = Storage(folder), Acceptor(_IDENTITY)
-            for record in storage.loaded:
+            for record in storage.loaded_records:
                 acceptor.load_record(record)
             taken_s = time.perf_counter() - start_s
             assert acceptor.follower.version == changes
--- a/troutstand/daemon/keeper.py
+++ b/troutstand/daemon/keeper.py
@@ -75,9 +75,9 @@
         self.storage = Storage(folder)
         self.journal = Journal(self.storage)
         self.acceptor = Acceptor(identity)
-        for record in self.storage.loaded:
+        for record in self.storage.loaded_records:
             self.acceptor.load_record(record)
-        self.storage.loaded = []
+        self.storage.loaded_records = []
         limits = settings.limits
         self.registers = RegisterClient(
             self.ask_keeper,
--- a/troutstand/daemon/leasedscheduler.py
+++ b/troutstand/daemon/leasedscheduler.py
@@ -266,13 +266,13 @@
 
     def _dispatch(self, sends: list[Send]) -> None:
         for send in sends:
-            self._emit_send(send)
+            self._emit_decision(send)
             if send.process == self._node.process:
                 self._placement.receive(send.message)
             elif not self._node.peers.send(send.process, send.message):
                 self._node.events.emit("scheduler_unsent", send.message.request, peer=send.process)
 
-    def _emit_send(self, send: Send) -> None:
+    def _emit_decision(self, send: Send) -> None:
         match send.message:
             case Grant(request, target, waited_ms, cached_tokens, reason):
                 self._node.events.emit(
--- a/troutstand/daemon/storage.py
+++ b/troutstand/daemon/storage.py
@@ -164,7 +164,7 @@
         self.sync_count = 0
         snapshot, _ = read_records(folder / _SNAPSHOT)
         log, valid_bytes = read_records(folder / _LOG)
-        self.loaded = snapshot + log
+        self.loaded_records = snapshot + log
         self.log_record_count = len(log)
         sequences = [record.sequence for record in snapshot if isinstance(record, StoredSequence)]
         self._snapshot_sequence = sequences[0] if sequences else 0
--- a/troutstand/routing/keeper.py
+++ b/troutstand/routing/keeper.py
@@ -93,7 +93,7 @@
         disk_id = INITIAL_DISK_ID
         initial = StoredKeepers(make_initial_set(list(seeds)))
         storage.append([initial])
-        storage.loaded.append(initial)
+        storage.loaded_records.append(initial)
     identity = StoredIdentity(settings.site, process, disk_id)
     format_folder(folder, identity)
     return identity, storage
@@ -107,9 +107,9 @@
         self.dialect = dialect
         identity, self.storage = open_data_folder(settings, self.node.process)
         self.acceptor = Acceptor(identity)
-        for record in self.storage.loaded:
+        for record in self.storage.loaded_records:
             self.acceptor.load_record(record)
-        self.storage.loaded = []
+        self.storage.loaded_records = []
         self.journal = RecoveringJournal(self.storage, self.node.events, self._collect_snapshot)
         self.registers = RegisterClient(
             self.ask_keeper,
--- a/troutstand/tests/steps/storage.py
+++ b/troutstand/tests/steps/storage.py
@@ -58,7 +58,7 @@
     """Open the folder anew and return its registers."""
     context.storage.close()
     context.storage = Storage(context.folder)
-    return [item for item in context.storage.loaded if isinstance(item, StoredRegister)]
+    return [item for item in context.storage.loaded_records if isinstance(item, StoredRegister)]
 
 
 @then("{count:d} records are read back")
