--- a/troutstand/routing/dialect.py
+++ b/troutstand/routing/dialect.py
@@ -1,4 +1,4 @@
-"""Wire formats between a routed site and its callers, targets and operators.
+"""Define the wire formats between a routed site and its callers, targets and operators.
 
 A deployment with other header names, paths or formats passes its own `Dialect`.
 """
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True)
 class HeaderNames:
-    """Header names of requests and responses, in lower case."""
+    """Define the header names of requests and responses, in lower case."""
 
     request: str = "x-request-id"
     deadline_ms: str = "x-deadline-ms"
@@ -155,7 +155,7 @@
 
 @dataclass(frozen=True)
 class Dialect:
-    """The wire formats of one deployment."""
+    """Define the wire formats of one deployment."""
 
     headers: HeaderNames = field(default_factory=HeaderNames)
     readiness_path: str = "/ready"
--- a/troutstand/routing/pendingplacement.py
+++ b/troutstand/routing/pendingplacement.py
@@ -1,4 +1,4 @@
-"""A gateway's request that waits for a placement decision."""
+"""Describe a gateway's request that waits for a placement decision."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass
 class PendingPlacement:
-    """A request that waits for a decision; times in seconds on the process clock."""
+    """Describe a request that waits for a decision; times in seconds on the process clock."""
 
     work: RoutedWork
     started_s: float
--- a/troutstand/routing/relay.py
+++ b/troutstand/routing/relay.py
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True)
 class OutgoingRequest:
-    """A caller's request in the form that is sent to any target."""
+    """Describe a caller's request in the form that is sent to any target."""
 
     request: str
     method: str
@@ -121,7 +121,7 @@
 
 @dataclass
 class SentRequest:
-    """A request in flight at a target; times in seconds on the process clock."""
+    """Describe a request in flight at a target; times in seconds on the process clock."""
 
     placed: Placed
     connection: TargetConnection
