--- a/troutstand/backends/base.py
+++ b/troutstand/backends/base.py
@@ -43,7 +43,7 @@
     notice: TargetNotice
 
 
-class TargetRefusal(TroutstandError):
+class TargetRejection(TroutstandError):
     """Report a target that turned a request away.
 
     Parameters
--- a/troutstand/backends/engine.py
+++ b/troutstand/backends/engine.py
@@ -18,7 +18,7 @@
     LoadReport,
     Order,
     Reply,
-    TargetRefusal,
+    TargetRejection,
 )
 from troutstand.backends.http import HttpBackend
 from troutstand.core.codes import ResultCode, Run
@@ -36,7 +36,7 @@
 _ERROR_BYTES = 300
 
 
-def make_answer_id(request: str) -> str:
+def make_completion_id(request: str) -> str:
     """Return the id that the engine's answer to a request carries."""
     return f"chatcmpl-{request}"
 
@@ -59,7 +59,7 @@
             if response.status != _OK:
                 text = (await response.content.read(_ERROR_BYTES)).decode(errors="replace")
                 detail = f"status {response.status}: {text}"
-                raise TargetRefusal(detail, notice)
+                raise TargetRejection(detail, notice)
             async for data in response.content.iter_any():
                 yield data
 
--- a/troutstand/backends/hostlist.py
+++ b/troutstand/backends/hostlist.py
@@ -28,7 +28,7 @@
         return frozenset(item.name for item in self.targets if item.state == "leaving")
 
 
-async def read_host_list(session: aiohttp.ClientSession, url: str) -> HostList:
+async def fetch_host_list(session: aiohttp.ClientSession, url: str) -> HostList:
     """Fetch the list.
 
     Raises
--- a/troutstand/control/client.py
+++ b/troutstand/control/client.py
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True)
-class Fetched:
+class HttpResponse:
     """Carry the answer to one HTTP request."""
 
     status: int
@@ -40,7 +40,7 @@
     headers: dict[str, str]
 
 
-class RefusedCall(Exception):
+class AdminApiError(Exception):
     """Report a refusal that a process answered with."""
 
     def __init__(self, status: int, body: ErrorBody) -> None:
@@ -51,14 +51,14 @@
 
 async def _fetch(
     address: Address, method: str, path: str, body: bytes, headers: dict[str, str]
-) -> Fetched:
+) -> HttpResponse:
     url = f"http://{address.ip}:{address.port}{path}"
     timeout = aiohttp.ClientTimeout(total=_TIMEOUT_S)
     async with (
         aiohttp.ClientSession(timeout=timeout) as session,
         session.request(method, url, data=body or None, headers=headers) as response,
     ):
-        return Fetched(response.status, await response.read(), dict(response.headers))
+        return HttpResponse(response.status, await response.read(), dict(response.headers))
 
 
 def fetch(
@@ -68,7 +68,7 @@
     body: bytes = b"",
     token: str = "",
     headers: dict[str, str] | None = None,
-) -> Fetched:
+) -> HttpResponse:
     """Send one HTTP request from outside any event loop.
 
     Raises
@@ -84,7 +84,7 @@
 
 
 @dataclass(frozen=True)
-class Operator:
+class AdminClient:
     """Call the operators' paths."""
 
     admins: dict[str, Address]
@@ -95,13 +95,13 @@
 
         Raises
         ------
-        RefusedCall
+        AdminApiError
             Where the process refuses.
         """
         fetched = fetch(self.admins[process], method, path, body, self.token)
         if fetched.status != _OK:
             envelope = msgspec.json.decode(fetched.body, type=ErrorEnvelope)
-            raise RefusedCall(fetched.status, envelope.error)
+            raise AdminApiError(fetched.status, envelope.error)
         return msgspec.json.decode(fetched.body, type=kind)
 
     def read_status(self, process: str) -> StatusReport:
@@ -112,7 +112,7 @@
         """Read a process's status if it answers."""
         try:
             return self.read_status(process)
-        except (OSError, RefusedCall):
+        except (OSError, AdminApiError):
             return None
 
     def read_table(self, process: str) -> TableReport:
@@ -146,7 +146,7 @@
         """Accept an edit if the process can."""
         try:
             return self.accept(process, edit_id, base, upserts)
-        except (OSError, RefusedCall):
+        except (OSError, AdminApiError):
             return None
 
     def try_form(self, process: str) -> str:
@@ -155,7 +155,7 @@
             self.call(process, "POST", "/admin/keepers/form", KeepersReport)
         except OSError as error:
             return repr(error)
-        except RefusedCall as refusal:
+        except AdminApiError as refusal:
             return refusal.body.message
         return ""
 
--- a/troutstand/control/walk.py
+++ b/troutstand/control/explanation.py
@@ -1,4 +1,4 @@
-"""Walk from a request's id to its cause through the collected logs of a routed site."""
+"""Explain the result of a request from the collected logs of a routed site."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from troutstand.control.timeline import Line
+    from troutstand.control.timeline import LogLine
 
 # What a process believed when it decided: the newest of each before the request.
-_BELIEFS = (
+_STATE_EVENTS = (
     "process_started",
     "stop_started",
     "configuration_in_force",
@@ -27,12 +27,12 @@
 
 
 @dataclass(frozen=True)
-class Walk:
+class RequestExplanation:
     """Hold what the logs tell of one request.
 
     Parameters
     ----------
-    beliefs
+    state_lines
         The newest line of each belief at the processes that took part.
     steps
         The request's own lines, in causal order.
@@ -40,31 +40,31 @@
         One sentence that names the cause, or says what is missing.
     """
 
-    beliefs: list[Line]
-    steps: list[Line]
+    state_lines: list[LogLine]
+    steps: list[LogLine]
     cause: str
 
 
-def explain_request(lines: list[Line], request: str) -> Walk | None:
+def explain_request(lines: list[LogLine], request: str) -> RequestExplanation | None:
     """Return the walk of a request, or None where no line names it."""
     steps = [line for line in lines if line.request == request]
     if not steps:
         return None
-    beliefs = _find_beliefs(lines, steps)
-    return Walk(beliefs, steps, _name_cause(lines, beliefs, steps))
+    state_lines = _find_state_lines(lines, steps)
+    return RequestExplanation(state_lines, steps, _name_cause(lines, state_lines, steps))
 
 
-def _find_beliefs(lines: list[Line], steps: list[Line]) -> list[Line]:
+def _find_state_lines(lines: list[LogLine], steps: list[LogLine]) -> list[LogLine]:
     processes = {step.process for step in steps}
     last = steps[-1].stamp
-    newest: dict[tuple[str, str], Line] = {}
+    newest: dict[tuple[str, str], LogLine] = {}
     for line in lines:
-        if line.process in processes and line.event in _BELIEFS and line.stamp <= last:
+        if line.process in processes and line.event in _STATE_EVENTS and line.stamp <= last:
             newest[(line.process, line.event)] = line
     return sorted(newest.values(), key=lambda line: (line.stamp, line.process))
 
 
-def _name_cause(lines: list[Line], beliefs: list[Line], steps: list[Line]) -> str:
+def _name_cause(lines: list[LogLine], state_lines: list[LogLine], steps: list[LogLine]) -> str:
     ends = [step for step in steps if step.event in _ENDS]
     if not ends:
         return "no end was logged: its gateway died, or its log is not among these"
@@ -79,10 +79,10 @@
         case "request_cut":
             return "its gateway was told to stop and ended before the answer was whole"
         case _:
-            return _explain_answer(beliefs, steps, end)
+            return _explain_answer(state_lines, steps, end)
 
 
-def _explain_refusal(steps: list[Line], end: Line) -> str:
+def _explain_refusal(steps: list[LogLine], end: LogLine) -> str:
     declined = next((s for s in steps if s.event == "request_declined"), None)
     code = end.fields.get("code", "")
     if declined is not None and code == _OVERLOAD:
@@ -97,7 +97,7 @@
     return f"code {code}: {end.fields.get('detail', '')}"
 
 
-def _explain_break(lines: list[Line], steps: list[Line], end: Line) -> str:
+def _explain_break(lines: list[LogLine], steps: list[LogLine], end: LogLine) -> str:
     failed = _list_failures(steps)
     targets = {s.fields.get("target") for s in steps if s.event == "attempt_failed"}
     others = [
@@ -116,11 +116,11 @@
     )
 
 
-def _explain_answer(beliefs: list[Line], steps: list[Line], end: Line) -> str:
+def _explain_answer(state_lines: list[LogLine], steps: list[LogLine], end: LogLine) -> str:
     placed = [s for s in steps if s.event == "request_placed"]
     waited = placed[-1].fields.get("waited_ms", "?") if placed else "?"
     expected = placed[-1].fields.get("expected_ms", "?") if placed else "?"
-    versions = [b for b in beliefs if b.event == "configuration_in_force"]
+    versions = [b for b in state_lines if b.event == "configuration_in_force"]
     held = f", {versions[-1].fields.get('version')} in force" if versions else ""
     return (
         f"answered with {end.fields.get('status')} after {end.fields.get('total_ms')} ms: "
@@ -132,12 +132,12 @@
     )
 
 
-def _read_ms(end: Line, name: str) -> float:
+def _read_ms(end: LogLine, name: str) -> float:
     """Return a time that a line carries, 0 where it carries none."""
     return float(end.fields.get(name) or 0.0)
 
 
-def _describe_late(end: Line) -> str:
+def _describe_late(end: LogLine) -> str:
     """Name the part that made an answer late, by its own line's times."""
     objective_ms = _read_ms(end, "objective_ms")
     waited_ms, first_ms = _read_ms(end, "waited_ms"), _read_ms(end, "first_ms")
@@ -150,12 +150,12 @@
     return ""
 
 
-def _describe_first(end: Line) -> str:
+def _describe_first(end: LogLine) -> str:
     first_ms = end.fields.get("first_ms")
     return f"come in {first_ms} ms" if first_ms else "never come from this try"
 
 
-def _list_failures(steps: list[Line]) -> str:
+def _list_failures(steps: list[LogLine]) -> str:
     return "; ".join(
         f"{s.fields.get('target')} {s.fields.get('ending')} ({_describe_failure(s)})"
         for s in steps
@@ -163,11 +163,11 @@
     )
 
 
-def _describe_failure(step: Line) -> str:
+def _describe_failure(step: LogLine) -> str:
     status, detail = step.fields.get("status"), step.fields.get("detail", "")
     return f"status {status}, {detail}" if status else detail
 
 
-def _describe_failures(steps: list[Line]) -> str:
+def _describe_failures(steps: list[LogLine]) -> str:
     failed = _list_failures(steps)
     return f", after failed attempts: {failed}" if failed else ""
--- a/troutstand/control/main.py
+++ b/troutstand/control/main.py
@@ -11,12 +11,12 @@
 import msgspec
 from cyclopts import App, Parameter
 
-from troutstand.control.client import Operator, RefusedCall
+from troutstand.control.client import AdminApiError, AdminClient
+from troutstand.control.explanation import explain_request
 from troutstand.control.printing import AsJson, print_columns, print_json
 from troutstand.control.rollouts import rollout
 from troutstand.control.tablefiles import read_table, read_version, write_table
-from troutstand.control.timeline import Line, make_trace, merge_logs, read_logs
-from troutstand.control.walk import explain_request
+from troutstand.control.timeline import LogLine, make_trace, merge_logs, read_logs
 from troutstand.core.codes import ResultCode, describe_code
 from troutstand.core.errors import TroutstandError, flatten_group
 from troutstand.core.reports import DrainReport, EventReport, KeepersReport, StatusReport
@@ -47,16 +47,16 @@
         raise TroutstandError(ResultCode.SETTINGS_INVALID, str(error)) from error
 
 
-def _make_operator(path: Path) -> Operator:
+def _make_operator(path: Path) -> AdminClient:
     settings = _read_settings(path)
     token = os.environ.get(TOKEN_VARIABLE, "")
     if settings.operator_token_file:
         token = Path(settings.operator_token_file).read_text().strip()
     admins = {item.name: Address(item.ip, item.port) for item in settings.processes}
-    return Operator(admins, token)
+    return AdminClient(admins, token)
 
 
-def _collect_statuses(operator: Operator) -> list[StatusReport]:
+def _collect_statuses(operator: AdminClient) -> list[StatusReport]:
     found = [operator.try_status(process) for process in operator.admins]
     statuses = [status for status in found if status is not None]
     if not statuses:
@@ -64,7 +64,7 @@
     return statuses
 
 
-def _first_live(operator: Operator) -> str:
+def _first_live(operator: AdminClient) -> str:
     return _collect_statuses(operator)[0].process
 
 
@@ -182,11 +182,11 @@
 
 
 def _explain_logs(request: str, logs: list[Path], json: bool) -> None:
-    walk = explain_request(read_logs(logs), request)
-    if walk is None:
+    explanation = explain_request(read_logs(logs), request)
+    if explanation is None:
         raise TroutstandError(ResultCode.NOT_FOUND, f"no line names {request!r}")
-    _print_lines([*walk.beliefs, *walk.steps], json)
-    print(f"cause: {walk.cause}")
+    _print_lines([*explanation.state_lines, *explanation.steps], json)
+    print(f"cause: {explanation.cause}")
 
 
 @app.command
@@ -210,7 +210,9 @@
     print(f"{output}: {len(lines)} events")
 
 
-def _select_lines(logs: tuple[Path, ...], settings: Path | None, request: str | None) -> list[Line]:
+def _select_lines(
+    logs: tuple[Path, ...], settings: Path | None, request: str | None
+) -> list[LogLine]:
     paths = list(logs)
     if not paths and settings is not None:
         paths = [Path(name) for name in _read_settings(settings).log_files]
@@ -220,7 +222,7 @@
     return [line for line in lines if request is None or line.request == request]
 
 
-def _print_lines(lines: list[Line], as_json: bool) -> None:
+def _print_lines(lines: list[LogLine], as_json: bool) -> None:
     for line in lines:
         if as_json:
             print_json(line.fields)
@@ -327,7 +329,7 @@
         if isinstance(single, TroutstandError):
             code = single.code
             print(f"troutstandctl: {single}", file=sys.stderr)
-        elif isinstance(single, RefusedCall):
+        elif isinstance(single, AdminApiError):
             code = ResultCode(single.body.number)
             print(
                 f"troutstandctl: {code.value} {code.name}: {single.body.message}", file=sys.stderr
@@ -343,7 +345,7 @@
     exit_code = 0
     try:
         app()
-    except* (TroutstandError, RefusedCall, OSError) as group:
+    except* (TroutstandError, AdminApiError, OSError) as group:
         exit_code = _report(group)
     sys.exit(exit_code)
 
--- a/troutstand/control/rollouts.py
+++ b/troutstand/control/rollouts.py
@@ -7,7 +7,7 @@
 import msgspec
 from cyclopts import App, Parameter
 
-from troutstand.control.client import Fetched, fetch
+from troutstand.control.client import HttpResponse, fetch
 from troutstand.control.printing import AsJson, print_columns, print_json
 from troutstand.core.codes import ResultCode
 from troutstand.core.errors import TroutstandError
@@ -98,7 +98,7 @@
     _call(keepers, "DELETE", f"{ROLLOUTS_PATH}/{service}")
 
 
-def _call(keepers: Sequence[Address], method: str, path: str, body: bytes = b"") -> Fetched:
+def _call(keepers: Sequence[Address], method: str, path: str, body: bytes = b"") -> HttpResponse:
     """Ask the keepers in turn until one gives a clear answer."""
     told = "no keeper answers"
     for keeper in keepers:
@@ -116,7 +116,7 @@
     raise TroutstandError(ResultCode.PROCESS_UNREACHABLE, told)
 
 
-def _read_refusal(answer: Fetched) -> TroutstandError:
+def _read_refusal(answer: HttpResponse) -> TroutstandError:
     try:
         first = msgspec.json.decode(answer.body, type=_Refusals).errors[0]
         return TroutstandError(ResultCode(first.code), first.detail)
--- a/troutstand/control/timeline.py
+++ b/troutstand/control/timeline.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True)
-class Line:
+class LogLine:
     """Carry one log line, read back."""
 
     stamp: Stamp
@@ -36,13 +36,13 @@
     return value[1:-1].replace("\\n", "\n").replace('\\"', '"').replace("\\\\", "\\")
 
 
-def parse_line(text: str) -> Line | None:
+def parse_line(text: str) -> LogLine | None:
     """Read a log line back; None for what is no event."""
     fields = {key: _unquote(value) for key, value in _PAIR.findall(text)}
     wall, _, counter = fields.get("at", "").partition(".")
     if not wall.isdigit() or not counter.isdigit() or "event" not in fields:
         return None
-    return Line(
+    return LogLine(
         stamp=Stamp(int(wall), int(counter)),
         process=fields.get("process", ""),
         event=fields["event"],
@@ -52,13 +52,13 @@
     )
 
 
-def merge_logs(texts: Iterable[str]) -> list[Line]:
+def merge_logs(texts: Iterable[str]) -> list[LogLine]:
     """Merge log lines in the order of their hybrid logical clocks."""
     lines = [line for text in texts if (line := parse_line(text)) is not None]
     return sorted(lines, key=lambda line: (line.stamp, line.process))
 
 
-def read_logs(paths: Iterable[Path]) -> list[Line]:
+def read_logs(paths: Iterable[Path]) -> list[LogLine]:
     """Merge log files."""
     return merge_logs(text for path in paths for text in path.read_text().splitlines())
 
@@ -82,7 +82,7 @@
     trace_events: list[TraceEvent]
 
 
-def make_trace(lines: list[Line]) -> bytes:
+def make_trace(lines: list[LogLine]) -> bytes:
     """Make a trace file: events as instants, and spans where a duration is known."""
     events: list[TraceEvent] = []
     for line in lines:
--- a/troutstand/daemon/enginerequests.py
+++ b/troutstand/daemon/enginerequests.py
@@ -8,7 +8,7 @@
 
 from aiohttp import web
 
-from troutstand.backends.base import TargetRefusal
+from troutstand.backends.base import TargetRejection
 from troutstand.backends.engine import EngineBackend
 from troutstand.core.answerstream import DONE_EVENT, AnswerEvent, frame_event
 from troutstand.core.codes import ResultCode, Run
@@ -241,7 +241,7 @@
         is_target_gone: bool = False,
     ) -> None:
         progress, usage = relay.progress, relay.progress.usage
-        backoff_s = error.notice.rest_s if isinstance(error, TargetRefusal) else 0.0
+        backoff_s = error.notice.rest_s if isinstance(error, TargetRejection) else 0.0
         # A target that requests a backoff is not counted as faulty.
         is_fault = error is not None and error.code in _FAULT_CODES and not backoff_s
         fault = error.code.name.lower() if error and is_fault else ""
--- a/troutstand/daemon/leasedscheduler.py
+++ b/troutstand/daemon/leasedscheduler.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
-from troutstand.backends.hostlist import read_host_list
+from troutstand.backends.hostlist import fetch_host_list
 from troutstand.core.codes import ResultCode
 from troutstand.core.errors import TroutstandError
 from troutstand.core.lease import LeaseHolder, LeaseVoter
@@ -120,7 +120,7 @@
         """Poll the platform's host list for leaving targets."""
         while True:
             try:
-                host_list = await read_host_list(self._session, url)
+                host_list = await fetch_host_list(self._session, url)
                 self._leaving = host_list.list_leaving()
                 if self.scheduler:
                     self.scheduler.update_leaving(self._leaving)
--- a/troutstand/daemon/relay.py
+++ b/troutstand/daemon/relay.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from troutstand.backends.base import Call
-from troutstand.backends.engine import EngineBackend, make_answer_id
+from troutstand.backends.engine import EngineBackend, make_completion_id
 from troutstand.core.answerstream import AnswerEvent, AnswerStream
 from troutstand.core.codes import ResultCode, Run
 from troutstand.core.errors import TroutstandError
@@ -94,7 +94,7 @@
         self._deadline_s = deadline_s
         self._stall_s = max(MIN_STALL_S, STALL_FACTOR * expected_first_s)
         self.stream = AnswerStream(
-            make_answer_id(request.request), backend.row.resumes, limit_bytes
+            make_completion_id(request.request), backend.row.resumes, limit_bytes
         )
 
     async def read(self) -> AsyncIterator[list[AnswerEvent]]:
--- a/troutstand/testing/site.py
+++ b/troutstand/testing/site.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from troutstand.control.client import Operator
+from troutstand.control.client import AdminClient
 from troutstand.generated.settings import Address, Limits, Peer, Role, Settings
 from troutstand.generated.table import Model, Protocol, Service, Target, Tier, Workspace
 from troutstand.testing.engine import EngineSettings
@@ -314,7 +314,7 @@
         for name in self.entries:
             self.wait_serving(name)
 
-    def _form_keepers(self, operator: Operator) -> None:
+    def _form_keepers(self, operator: AdminClient) -> None:
         """Form the keeper set; where that fails, tell what stood in its way."""
         reason = ""
 
@@ -336,9 +336,9 @@
         command = [*self.processes[name].command, "--format"]
         subprocess.run(command, check=True, stdout=subprocess.DEVNULL, timeout=HANG_S)
 
-    def operator(self) -> Operator:
+    def operator(self) -> AdminClient:
         """Return an operator who can reach every process."""
-        return Operator(self.admins, OPERATOR_TOKEN)
+        return AdminClient(self.admins, OPERATOR_TOKEN)
 
     def wait_serving(self, name: str) -> None:
         """Wait until an entry process serves callers."""
--- a/troutstand/tests/steps/callers.py
+++ b/troutstand/tests/steps/callers.py
@@ -15,7 +15,7 @@
 from behave import given, then, when
 from websockets.asyncio.client import connect
 
-from troutstand.control.client import Fetched, fetch
+from troutstand.control.client import HttpResponse, fetch
 from troutstand.core.clock import HybridClock
 from troutstand.core.ids import ProcessId
 from troutstand.daemon.links import Frame, Greeting, Identity, Link, LinkServer, Traffic
@@ -66,7 +66,7 @@
 # Malformed inputs
 
 
-def send_raw(address: Address, data: bytes) -> Fetched:
+def send_raw(address: Address, data: bytes) -> HttpResponse:
     """Send bytes that break off, and read the answer."""
     with socket.create_connection((address.ip, address.port), timeout=10) as connection:
         connection.sendall(data)
@@ -75,7 +75,7 @@
             answer += part
     head, _, body = answer.partition(b"\r\n\r\n")
     status = int(head.split(b" ")[1]) if head else 0
-    return Fetched(status, body, {})
+    return HttpResponse(status, body, {})
 
 
 def make_cut(random_: random.Random) -> bytes:
@@ -85,7 +85,7 @@
     return head.encode() + b"Content-Length: 4000\r\n\r\n" + body
 
 
-def send_malformed(entry: Address, number: int, random_: random.Random) -> Fetched:
+def send_malformed(entry: Address, number: int, random_: random.Random) -> HttpResponse:
     """Send one malformed input of a kind that the number chooses."""
     junk = random_.randbytes(random_.randint(1, 300))
     wrong = random_.choice([None, 7, True, [], {"a": 1}])
--- a/troutstand/tests/steps/domaincrashes.py
+++ b/troutstand/tests/steps/domaincrashes.py
@@ -33,7 +33,7 @@
 if TYPE_CHECKING:
     from behave.runner import Context
 
-    from troutstand.control.client import Fetched
+    from troutstand.control.client import HttpResponse
     from troutstand.generated.messages import PeerMessage
 
 _RUN_MS = 100
@@ -226,7 +226,7 @@
         set_fault(context.site, engine, Fault(deadly_text=_DEADLY))
 
 
-def _ask(context: Context, prompt: str) -> Fetched:
+def _ask(context: Context, prompt: str) -> HttpResponse:
     entry = context.site.callers[context.site.entries[0]]
     body = make_chat(messages=[{"role": "user", "content": prompt}])
     return fetch(entry, "POST", "/v1/chat/completions", body, _TOKEN)
--- a/troutstand/tests/steps/domainrests.py
+++ b/troutstand/tests/steps/domainrests.py
@@ -29,7 +29,7 @@
 
     from behave.runner import Context
 
-    from troutstand.control.client import Fetched
+    from troutstand.control.client import HttpResponse
     from troutstand.generated.messages import PeerMessage
 
 _TOKEN = "token-counter"
@@ -55,7 +55,9 @@
     context.site.find_scheduler("north")
 
 
-def _call_for(length_s: float, rate: int, call: Callable[[int], Fetched]) -> list[Fetched]:
+def _call_for(
+    length_s: float, rate: int, call: Callable[[int], HttpResponse]
+) -> list[HttpResponse]:
     """Call at a steady pace and return what came of each call."""
     pending = []
     with ThreadPoolExecutor(_CALLERS) as pool:
@@ -73,7 +75,7 @@
 
 @when("for {length_s:g} s {rate:d} prompts a second are asked for")
 def ask_for(context: Context, length_s: float, rate: int) -> None:
-    def ask(number: int) -> Fetched:
+    def ask(number: int) -> HttpResponse:
         body = make_chat(messages=[{"role": "user", "content": f"prompt {number}"}])
         entry = _find_entry(context.site, number)
         return fetch(entry, "POST", "/v1/chat/completions", body, _TOKEN)
@@ -83,7 +85,7 @@
 
 @when("for {length_s:g} s {rate:d} calls a second are made")
 def call_for(context: Context, length_s: float, rate: int) -> None:
-    def call(number: int) -> Fetched:
+    def call(number: int) -> HttpResponse:
         entry = _find_entry(context.site, number)
         return fetch(entry, "GET", f"/services/{LOOKUP}/item-{number}", b"", _TOKEN)
 
--- a/troutstand/tests/steps/serving.py
+++ b/troutstand/tests/steps/serving.py
@@ -25,7 +25,7 @@
 if TYPE_CHECKING:
     from behave.runner import Context
 
-    from troutstand.control.client import Fetched
+    from troutstand.control.client import HttpResponse
 
 _ALWAYS = 10**6
 _PROMPT = "what to water "
@@ -85,7 +85,7 @@
     assert fetched.status == 200, fetched
 
 
-def _try_fetch(address: Address, fault: Fault) -> Fetched | None:
+def _try_fetch(address: Address, fault: Fault) -> HttpResponse | None:
     try:
         return fetch(address, "POST", "/test/fault", msgspec.json.encode(fault))
     except ConnectionError:
--- a/troutstand/tests/steps/sites.py
+++ b/troutstand/tests/steps/sites.py
@@ -11,7 +11,7 @@
 
 from behave import given, then, when
 
-from troutstand.control.client import Fetched, RefusedCall, fetch
+from troutstand.control.client import AdminApiError, HttpResponse, fetch
 from troutstand.generated.table import Model
 from troutstand.testing.load import Load
 from troutstand.testing.mixes import IRRIGATION, Drawer
@@ -51,7 +51,7 @@
     context.plan = SitePlan(**{**plan.__dict__, "service_run_s": 1.0})
 
 
-def send_command(site: Site, key: str, process: str, keyed: bool = True) -> Fetched | None:
+def send_command(site: Site, key: str, process: str, keyed: bool = True) -> HttpResponse | None:
     """Send a command; None where the connection broke."""
     headers = {"Idempotency-Key": key} if keyed else {}
     path = f"/services/{SERVICE}/valves/{key}/shut"
@@ -157,7 +157,7 @@
         site.processes[name].kill()
 
 
-def send_chat(site: Site, process: str) -> Fetched:
+def send_chat(site: Site, process: str) -> HttpResponse:
     """Send a short chat."""
     body = {"model": MODEL, "messages": [{"role": "user", "content": "hello"}], "max_tokens": 3}
     data = json.dumps(body).encode()
@@ -231,7 +231,7 @@
     def try_replace() -> bool:
         try:
             site.operator().replace_keeper(other, process)
-        except (OSError, RefusedCall) as refusal:
+        except (OSError, AdminApiError) as refusal:
             return "cannot replace a member" in str(refusal)
         return True
 
@@ -314,7 +314,7 @@
     """Accept an edit of version 1 and tell the answer."""
     try:
         return f"version {site.operator().accept(process, edit_id, 1, [Model(edit_id)]).version}"
-    except RefusedCall as refusal:
+    except AdminApiError as refusal:
         return f"{refusal.body.number} {refusal.body.message}"
 
 
--- a/troutstand/tests/steps/walk.py
+++ b/troutstand/tests/steps/walk.py
@@ -6,8 +6,8 @@
 
 from behave import given, then, when
 
+from troutstand.control.explanation import explain_request
 from troutstand.control.timeline import merge_logs
-from troutstand.control.walk import explain_request
 
 if TYPE_CHECKING:
     from behave.runner import Context
@@ -81,21 +81,21 @@
 
 @when("request {request} is explained")
 def explain(context: Context, request: str) -> None:
-    context.walk = explain_request(context.lines, request)
+    context.explanation = explain_request(context.lines, request)
 
 
 @then("the cause holds {cause}")
 def check_cause(context: Context, cause: str) -> None:
-    assert cause in context.walk.cause, context.walk.cause
+    assert cause in context.explanation.cause, context.explanation.cause
 
 
 @then("the beliefs hold {belief} and none of other processes")
 def check_beliefs(context: Context, belief: str) -> None:
-    texts = [line.text for line in context.walk.beliefs]
+    texts = [line.text for line in context.explanation.state_lines]
     assert any(belief in text for text in texts), texts
     assert not any("edge-2" in text for text in texts), texts
 
 
 @then("nothing is told")
 def check_nothing(context: Context) -> None:
-    assert context.walk is None
+    assert context.explanation is None
