--- a/troutstand/routing/callerresponse.py
+++ b/troutstand/routing/callerresponse.py
@@ -34,7 +34,7 @@
 
     @property
     def started_s(self) -> float | None:
-        """Return when the head was written, in seconds on the process clock, or None."""
+        """Return when the head was written, in seconds on the steady clock, or None."""
         return self._started_s if self.has_started else None
 
     @property
--- a/troutstand/routing/pendingplacement.py
+++ b/troutstand/routing/pendingplacement.py
@@ -16,7 +16,7 @@
 
 @dataclass
 class PendingPlacement:
-    """Describe a request that waits for a decision; times in seconds on the process clock."""
+    """Describe a request that waits for a decision; times in seconds on the steady clock."""
 
     work: RoutedWork
     started_s: float
--- a/troutstand/routing/placedrequests.py
+++ b/troutstand/routing/placedrequests.py
@@ -15,7 +15,7 @@
 
 @dataclass
 class PlacedRequest:
-    """Describe a request that was placed at a target; times in seconds on the process clock."""
+    """Describe a request that was placed at a target; times in seconds on the steady clock."""
 
     work: RoutedWork
     target: str
--- a/troutstand/routing/relay.py
+++ b/troutstand/routing/relay.py
@@ -121,7 +121,7 @@
 
 @dataclass
 class SentRequest:
-    """Describe a request in flight at a target; times in seconds on the process clock."""
+    """Describe a request in flight at a target; times in seconds on the steady clock."""
 
     placed: Placed
     connection: TargetConnection
--- a/troutstand/routing/schedulerwatch.py
+++ b/troutstand/routing/schedulerwatch.py
@@ -58,7 +58,7 @@
 
 @dataclass
 class SchedulerHealth:
-    """Track one scheduler's heartbeats; times in seconds on the process clock."""
+    """Track one scheduler's heartbeats; times in seconds on the steady clock."""
 
     last_heard_s: float = float("-inf")
     live_since_s: float = float("inf")
