--- a/troutstand/backends/base.py
+++ b/troutstand/backends/base.py
@@ -1,4 +1,4 @@
-"""Define what an adapter to a target offers."""
+"""Define the interface of target adapters and the records that they exchange."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 
 @dataclass(frozen=True)
 class Call:
-    """Carry a request to a target.
+    """Describe a request to a target.
 
-    `resume_after` is the number of the last event already held.
+    `resume_after` is the number of the last event received; None starts from the first.
     """
 
     request: str
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True)
 class Reply:
-    """Carry a whole answer of a plain service."""
+    """Hold a complete response, with the notice from its headers."""
 
     status: int
     content_type: str
@@ -44,12 +44,12 @@
 
 
 class TargetRejection(TroutstandError):
-    """Report a target that turned a request away.
+    """Report that a target rejected a request.
 
     Parameters
     ----------
     notice
-        What its answer says of the target.
+        Target state from the headers of the response.
     """
 
     def __init__(self, detail: str, notice: TargetNotice) -> None:
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True)
 class LoadReport:
-    """Carry what an engine says of its load, stale as it may be."""
+    """Hold the load that an engine reports; it may be stale."""
 
     running: int
     waiting: int
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True)
 class Order:
-    """Order an engine to load something or change role, fenced by an epoch."""
+    """Describe an order to load a model or change role, fenced by an epoch."""
 
     epoch: int
     action: str
@@ -78,7 +78,7 @@
 
 @dataclass(frozen=True)
 class CacheEvents:
-    """Carry an engine's late cache events; `lost` tells of a gap."""
+    """Hold delayed cache events of an engine; `lost` marks a gap in them."""
 
     next: int
     lost: bool
@@ -86,10 +86,10 @@
 
 
 class Backend(ABC):
-    """Speak one target's protocol.
+    """Adapt the protocol of one target.
 
-    Every method raises TroutstandError: TARGET_UNREACHABLE only where nothing
-    was sent, TARGET_FAULT, TARGET_TIMEOUT or ANSWER_CUT otherwise.
+    Methods raise TroutstandError: TARGET_UNREACHABLE only if nothing was sent,
+    otherwise TARGET_FAULT, TARGET_TIMEOUT or ANSWER_CUT.
     """
 
     def __init__(self, row: Target) -> None:
@@ -97,16 +97,16 @@
 
     @abstractmethod
     def stream(self, call: Call) -> AsyncIterator[bytes]:
-        """Send a call and yield the answer's bytes as they come."""
+        """Send a call and yield the response body in chunks as they arrive."""
 
     @abstractmethod
     async def request(self, call: Call) -> Reply:
-        """Send a call and return its whole answer."""
+        """Send a call and return its complete response."""
 
     @abstractmethod
     async def is_gone(self) -> bool:
-        """Tell whether the target's process has ended: its address refuses connections."""
+        """Return whether the target's process has ended (its address refuses connections)."""
 
     @abstractmethod
     async def cancel(self, request: str) -> None:
-        """Stop a running request."""
+        """Cancel a running request."""
--- a/troutstand/backends/hostlist.py
+++ b/troutstand/backends/hostlist.py
@@ -1,4 +1,4 @@
-"""Read the platform's list of live and leaving targets, which lags."""
+"""Fetch the platform's list of live and leaving targets; the list may be stale."""
 
 from __future__ import annotations
 
@@ -12,29 +12,29 @@
 
 
 class ListedTarget(msgspec.Struct, frozen=True):
-    """Carry one line of the platform's list."""
+    """Hold one entry of the platform's list."""
 
     name: str
     state: str
 
 
 class HostList(msgspec.Struct, frozen=True):
-    """Carry the platform's list."""
+    """Hold the platform's list."""
 
     targets: list[ListedTarget]
 
     def list_leaving(self) -> frozenset[str]:
-        """Return the names of the leaving targets."""
+        """Return the names of the targets that are leaving."""
         return frozenset(item.name for item in self.targets if item.state == "leaving")
 
 
 async def fetch_host_list(session: aiohttp.ClientSession, url: str) -> HostList:
-    """Fetch the list.
+    """Fetch the platform's list.
 
     Raises
     ------
     TroutstandError
-        TARGET_FAULT where it cannot be had.
+        TARGET_FAULT if the list can't be fetched or decoded.
     """
     timeout = aiohttp.ClientTimeout(total=_TIMEOUT_S)
     try:
--- a/troutstand/backends/http.py
+++ b/troutstand/backends/http.py
@@ -1,4 +1,4 @@
-"""Share what HTTP adapters have in common."""
+"""Provide the common base of the HTTP adapters."""
 
 from __future__ import annotations
 
@@ -22,17 +22,13 @@
 if TYPE_CHECKING:
     from troutstand.generated.table import Target
 
-# Connections are checked for reuse by request, never shared, so that a late
-# answer of one request cannot be read as another's.
 CONNECT_TIMEOUT_S = 2.0
-# How long a look at a target's address may take, in seconds: a refusal takes one round
-# trip, and a request that is sent again waits for it. With 0.1 s a busy machine (load 22 on
-# 8 processors) missed the end of one target of three.
-_LOOK_S = 0.3
+# A refused connection takes one round trip; a retried request waits for the probe.
+_PROBE_TIMEOUT_S = 0.3
 
 
 def make_session() -> aiohttp.ClientSession:
-    """Make the session that all adapters of a process share."""
+    """Make the HTTP session that all adapters of a process share."""
     connector = aiohttp.TCPConnector(limit=0, keepalive_timeout=30)
     return aiohttp.ClientSession(connector=connector, auto_decompress=False, read_bufsize=2**18)
 
@@ -41,13 +37,13 @@
 async def open_call(
     session: aiohttp.ClientSession, url: str, call: Call, headers: dict[str, str]
 ) -> AsyncIterator[aiohttp.ClientResponse]:
-    """Send a call and give its response.
+    """Send a call and yield its response.
 
     Raises
     ------
     TroutstandError
-        TARGET_UNREACHABLE where no connection came about, so that nothing
-        was sent; TARGET_TIMEOUT or ANSWER_CUT where something may have run.
+        TARGET_UNREACHABLE if no connection was made, so that nothing was sent;
+        TARGET_TIMEOUT or ANSWER_CUT if the request may have run.
     """
     timeout = aiohttp.ClientTimeout(total=call.timeout_s, sock_connect=CONNECT_TIMEOUT_S)
     try:
@@ -59,16 +55,18 @@
         raise TroutstandError(ResultCode.TARGET_UNREACHABLE, type(error).__name__) from error
     except TimeoutError as error:
         code = ResultCode.TARGET_TIMEOUT
-        raise TroutstandError(code, f"after {call.timeout_s} s", Run.UNKNOWN) from error
+        raise TroutstandError(
+            code, f"no complete response within {call.timeout_s} s", Run.UNKNOWN
+        ) from error
     except aiohttp.ClientError as error:
         raise TroutstandError(ResultCode.ANSWER_CUT, type(error).__name__, Run.UNKNOWN) from error
 
 
 @dataclass(frozen=True)
 class NoticeHeaders:
-    """Name the headers in which a target speaks of itself.
+    """Name the headers that carry target notices.
 
-    Engines refuse by their status alone, so that no header has to say that nothing ran.
+    `not_run` is empty: engines mark a rejected request by the status alone.
     """
 
     leaving: str = LEAVING_HEADER
@@ -77,56 +75,59 @@
 
 
 _NOTICE_HEADERS = NoticeHeaders()
-# Takes what the answer to a request, sent at a time in seconds, says of its target.
-HearTarget = Callable[[str, TargetNotice, float], None]
+# Called with a request id, the notice in its response and the time when it was sent, in s.
+NoticeHandler = Callable[[str, TargetNotice, float], None]
 
 
-def hear_nothing(request: str, notice: TargetNotice, asked_s: float) -> None:
-    """Leave aside what a target says of itself."""
+def ignore_notice(request: str, notice: TargetNotice, sent_s: float) -> None:
+    """Ignore a target notice."""
 
 
 class HttpBackend(Backend):
-    """Send calls over HTTP; what differs is the headers and the stream."""
+    """Send calls over HTTP; subclasses define the headers and the stream."""
 
     def __init__(
-        self, row: Target, session: aiohttp.ClientSession, hear: HearTarget = hear_nothing
+        self,
+        row: Target,
+        session: aiohttp.ClientSession,
+        handle_notice: NoticeHandler = ignore_notice,
     ) -> None:
         super().__init__(row)
         self._session = session
-        self._hear = hear
+        self._handle_notice = handle_notice
 
     @abstractmethod
     def make_headers(self, call: Call) -> dict[str, str]:
-        """Make a call's headers."""
+        """Make the headers of a call."""
 
     async def request(self, call: Call) -> Reply:
-        """Send a call and return its whole answer."""
+        """Send a call and return its complete response."""
         async with self._open(call) as (response, notice):
             body = await response.read()
             return Reply(response.status, response.content_type, body, notice)
 
     async def is_gone(self) -> bool:
-        """Tell whether the target's process has ended: its address refuses connections."""
+        """Return whether the target's process has ended (its address refuses connections)."""
         url = URL(self.row.url)
         try:
-            async with asyncio.timeout(_LOOK_S):
+            async with asyncio.timeout(_PROBE_TIMEOUT_S):
                 _, writer = await asyncio.open_connection(url.host, url.port)
         except ConnectionRefusedError:
             return True
         except (OSError, TimeoutError):
-            # Neither refused nor accepted: nothing is known.
+            # No refusal: the process may still run.
             return False
         writer.close()
         return False
 
     @asynccontextmanager
     async def _open(self, call: Call) -> AsyncIterator[tuple[aiohttp.ClientResponse, TargetNotice]]:
-        """Send a call; give its response and what its head says of the target."""
-        asked_s = read_clock_s()
+        """Send a call; yield its response and the notice from its headers."""
+        sent_s = read_clock_s()
         headers = self.make_headers(call)
         async with open_call(self._session, self.row.url, call, headers) as response:
             notice = parse_notice(
                 response.status, response.headers.get, _NOTICE_HEADERS, self.row.name
             )
-            self._hear(call.request, notice, asked_s)
+            self._handle_notice(call.request, notice, sent_s)
             yield response, notice
--- a/troutstand/backends/service.py
+++ b/troutstand/backends/service.py
@@ -1,4 +1,4 @@
-"""Speak to a plain HTTP service."""
+"""Adapt plain HTTP services."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 
 
 class ServiceBackend(HttpBackend):
-    """Adapt a plain service; a request's id goes along as its Idempotency-Key."""
+    """Adapt a plain HTTP service; the request id is sent as the Idempotency-Key."""
 
     def make_headers(self, call: Call) -> dict[str, str]:
-        """Make a call's headers."""
+        """Make the headers of a call."""
         return {"Content-Type": call.content_type, "Idempotency-Key": call.request}
 
     async def stream(self, call: Call) -> AsyncIterator[bytes]:
-        """Send a call and yield the answer's bytes as they come."""
+        """Send a call and yield the response body in chunks as they arrive."""
         async with self._open(call) as (response, _):
             async for data in response.content.iter_any():
                 yield data
 
     async def cancel(self, request: str) -> None:
-        """Leave the request alone: plain services cannot cancel."""
+        """Do nothing: plain services can't cancel a request."""
