--- a/troutstand/control/client.py
+++ b/troutstand/control/client.py
@@ -1,4 +1,4 @@
-"""Call the processes of a site as an operator."""
+"""Call the admin API of a site's processes."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True)
 class HttpResponse:
-    """Carry the answer to one HTTP request."""
+    """Hold the response to one HTTP request."""
 
     status: int
     body: bytes
@@ -41,7 +41,7 @@
 
 
 class AdminApiError(Exception):
-    """Report a refusal that a process answered with."""
+    """Report an error response of a process's admin API."""
 
     def __init__(self, status: int, body: ErrorBody) -> None:
         super().__init__(f"{status} {body.number} {body.message}")
@@ -69,58 +69,62 @@
     token: str = "",
     headers: dict[str, str] | None = None,
 ) -> HttpResponse:
-    """Send one HTTP request from outside any event loop.
+    """Send one HTTP request; must not be called from a running event loop.
 
     Raises
     ------
     OSError
-        Where the process does not answer whole.
+        If the process can't be reached or its response is incomplete.
     """
-    sent = {"Authorization": f"Bearer {token}", **(headers or {})}
+    all_headers = {"Authorization": f"Bearer {token}", **(headers or {})}
     try:
-        return asyncio.run(_fetch(address, method, path, body, sent))
+        return asyncio.run(_fetch(address, method, path, body, all_headers))
     except aiohttp.ClientError as error:
         raise ConnectionError(str(error)) from error
 
 
 @dataclass(frozen=True)
 class AdminClient:
-    """Call the operators' paths."""
+    """Call the admin API of a site's processes by process name."""
 
     admins: dict[str, Address]
     token: str
 
-    def call(self, process: str, method: str, path: str, kind: type[T], body: bytes = b"") -> T:
+    def call(
+        self, process: str, method: str, path: str, report_type: type[T], body: bytes = b""
+    ) -> T:
         """Call a process and decode its report.
 
         Raises
         ------
         AdminApiError
-            Where the process refuses.
+            If the process returns an error response.
+        OSError
+            If the process can't be reached.
         """
-        fetched = fetch(self.admins[process], method, path, body, self.token)
-        if fetched.status != _OK:
-            envelope = msgspec.json.decode(fetched.body, type=ErrorEnvelope)
-            raise AdminApiError(fetched.status, envelope.error)
-        return msgspec.json.decode(fetched.body, type=kind)
+        response = fetch(self.admins[process], method, path, body, self.token)
+        if response.status != _OK:
+            envelope = msgspec.json.decode(response.body, type=ErrorEnvelope)
+            raise AdminApiError(response.status, envelope.error)
+        return msgspec.json.decode(response.body, type=report_type)
 
     def read_status(self, process: str) -> StatusReport:
-        """Read a process's status."""
+        """Fetch the status of a process."""
         return self.call(process, "GET", "/admin/status", StatusReport)
 
     def try_status(self, process: str) -> StatusReport | None:
-        """Read a process's status if it answers."""
+        """Fetch the status of a process; return None if the call fails."""
         try:
             return self.read_status(process)
         except (OSError, AdminApiError):
             return None
 
     def read_table(self, process: str) -> TableReport:
-        """Read the table in force at a process."""
+        """Fetch the table in force at a process."""
         return self.call(process, "GET", "/admin/table", TableReport)
 
     def read_targets(self, process: str) -> TargetsReport:
-        """Read what a scheduler knows of its targets."""
+        """Fetch the state of the targets that a scheduler manages."""
         return self.call(process, "GET", "/admin/targets", TargetsReport)
 
     def accept(
@@ -131,53 +135,53 @@
         upserts: list[Row],
         deletes: list[Row] | None = None,
     ) -> AcceptReport:
-        """Accept an edit of the table."""
-        keys = [RowKey(name.kind, name.name) for name in map(get_row_id, deletes or [])]
+        """Have a process accept an edit of the table, given as rows."""
+        keys = [RowKey(row_id.kind, row_id.name) for row_id in map(get_row_id, deletes or [])]
         return self.send_change(process, Change(edit_id, base, upserts, keys))
 
     def send_change(self, process: str, change: Change) -> AcceptReport:
-        """Send an edit of the table."""
+        """Have a process accept an edit of the table."""
         body = msgspec.json.encode(AcceptCall(change))
         return self.call(process, "POST", "/admin/table/accept", AcceptReport, body)
 
     def try_accept(
         self, process: str, edit_id: str, base: int, upserts: list[Row]
     ) -> AcceptReport | None:
-        """Accept an edit if the process can."""
+        """Have a process accept an edit of the table; return None if the call fails."""
         try:
             return self.accept(process, edit_id, base, upserts)
         except (OSError, AdminApiError):
             return None
 
     def try_form(self, process: str) -> str:
-        """Form the keeper set; return why it is not formed, or nothing where it is."""
+        """Form the keeper set; return the reason if this fails, otherwise an empty string."""
         try:
             self.call(process, "POST", "/admin/keepers/form", KeepersReport)
         except OSError as error:
             return repr(error)
-        except AdminApiError as refusal:
-            return refusal.body.message
+        except AdminApiError as error:
+            return error.body.message
         return ""
 
     def replace_keeper(self, process: str, lost: str) -> KeepersReport:
-        """Have a keeper's new disk take the lost one's place."""
+        """Replace the lost disk of a keeper by its new one, through another keeper process."""
         body = msgspec.json.encode(ReplaceCall(lost))
         return self.call(process, "POST", "/admin/keepers/replace", KeepersReport, body)
 
     def start_drain(self, process: str) -> DrainReport:
-        """Begin to drain a process."""
+        """Start to drain a process."""
         return self.call(process, "POST", "/admin/drain", DrainReport)
 
-    def is_healthy(self, callers: Address) -> bool:
-        """Tell whether an entry process wants callers."""
+    def is_healthy(self, address: Address) -> bool:
+        """Return whether the entry process with a caller address accepts calls."""
         try:
-            return fetch(callers, "GET", "/healthz").status == _OK
+            return fetch(address, "GET", "/healthz").status == _OK
         except OSError:
             return False
 
     def find_scheduler(self, processes: list[str]) -> str | None:
-        """Return the process that all reachable ones follow as scheduler."""
-        found = [status for status in map(self.try_status, processes) if status]
-        followed = {status.scheduler for status in found}
-        name = followed.pop() if len(followed) == 1 else None
-        return name if name in {status.process for status in found} else None
+        """Return the scheduler that all reachable processes follow, if it is reachable too."""
+        statuses = [status for status in map(self.try_status, processes) if status]
+        schedulers = {status.scheduler for status in statuses}
+        name = schedulers.pop() if len(schedulers) == 1 else None
+        return name if name in {status.process for status in statuses} else None
--- a/troutstand/control/main.py
+++ b/troutstand/control/main.py
@@ -1,4 +1,4 @@
-"""Operate a site from the command line."""
+"""Provide the command line of operators, troutstandctl."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 from troutstand.generated.settings import Address
 
 app = App(name="troutstandctl", help="Operate a site of troutstand.")
-table = App(name="table", help="Work on the operators' table.")
+table = App(name="table", help="Export, check and edit the operators' table.")
 keepers = App(name="keepers", help="Form the keeper set, or replace a keeper that lost its disk.")
 app.command(table)
 app.command(keepers)
@@ -33,7 +33,7 @@
 
 TOKEN_VARIABLE = "TROUTSTAND_OPERATOR_TOKEN"
 SETTINGS_VARIABLE = "TROUTSTAND_CONTROL"
-_EDIT_BYTES = 9
+_EDIT_ID_BYTES = 9
 
 SettingsFile = Annotated[Path, Parameter(name="--settings", env_var=SETTINGS_VARIABLE)]
 
@@ -47,7 +47,7 @@
         raise TroutstandError(ResultCode.SETTINGS_INVALID, str(error)) from error
 
 
-def _make_operator(path: Path) -> AdminClient:
+def _make_client(path: Path) -> AdminClient:
     settings = _read_settings(path)
     token = os.environ.get(TOKEN_VARIABLE, "")
     if settings.operator_token_file:
@@ -56,23 +56,23 @@
     return AdminClient(admins, token)
 
 
-def _collect_statuses(operator: AdminClient) -> list[StatusReport]:
-    found = [operator.try_status(process) for process in operator.admins]
+def _collect_statuses(client: AdminClient) -> list[StatusReport]:
+    found = [client.try_status(process) for process in client.admins]
     statuses = [status for status in found if status is not None]
     if not statuses:
-        raise TroutstandError(ResultCode.PROCESS_UNREACHABLE, "no process answers")
+        raise TroutstandError(ResultCode.PROCESS_UNREACHABLE, "no process responded")
     return statuses
 
 
-def _first_live(operator: AdminClient) -> str:
-    return _collect_statuses(operator)[0].process
+def _find_reachable(client: AdminClient) -> str:
+    return _collect_statuses(client)[0].process
 
 
 @app.command
 def status(*, settings: SettingsFile, json: AsJson = False) -> None:
-    """Show every process, the version it runs, and which are behind."""
-    operator = _make_operator(settings)
-    statuses = _collect_statuses(operator)
+    """Show the state and table version of every process."""
+    client = _make_client(settings)
+    statuses = _collect_statuses(client)
     if json:
         print_json(statuses)
         return
@@ -84,7 +84,7 @@
         row += [str(item.epoch), item.scheduler or "-", str(item.running), str(item.waiting)]
         rows.append(row)
     answered = {item.process for item in statuses}
-    for process in operator.admins:
+    for process in client.admins:
         if process not in answered:
             rows.append([process, "-", "silent", "-", "-", "-", "-", "-"])
     print_columns(rows)
@@ -92,26 +92,28 @@
 
 @app.command
 def hosts(*, settings: SettingsFile, process: str | None = None, json: AsJson = False) -> None:
-    """Show what one process hears of the others."""
-    operator = _make_operator(settings)
-    report = operator.read_status(process or _first_live(operator))
+    """Show the other processes as one process knows them from their heartbeats."""
+    client = _make_client(settings)
+    report = client.read_status(process or _find_reachable(client))
     if json:
         print_json(report.hosts)
         return
     rows = [["PROCESS", "STATE", "VERSION", "HEARD", "SCHEDULER"]]
     for item in report.hosts:
-        heard = "never" if item.heard_s is None else f"{item.heard_s:.1f} s ago"
+        last_heard = "never" if item.heard_s is None else f"{item.heard_s:.1f} s ago"
         version = f"{item.version}{' (behind)' if item.is_behind else ''}"
-        rows.append([item.process, item.state, version, heard, "yes" if item.scheduling else ""])
+        rows.append(
+            [item.process, item.state, version, last_heard, "yes" if item.scheduling else ""]
+        )
     print_columns(rows)
 
 
 @app.command
 def targets(*, settings: SettingsFile, json: AsJson = False) -> None:
-    """Show the targets of every failure domain as its scheduler knows them."""
-    operator = _make_operator(settings)
-    schedulers = sorted({s.scheduler for s in _collect_statuses(operator) if s.scheduler})
-    reports = [operator.read_targets(name) for name in schedulers if name in operator.admins]
+    """Show the targets of every failure domain, as reported by its scheduler."""
+    client = _make_client(settings)
+    schedulers = sorted({s.scheduler for s in _collect_statuses(client) if s.scheduler})
+    reports = [client.read_targets(name) for name in schedulers if name in client.admins]
     if json:
         print_json(reports)
         return
@@ -127,21 +129,21 @@
 
 @app.command
 def drain(process: str, *, settings: SettingsFile, json: AsJson = False) -> None:
-    """Stop an entry process without cutting a request, and show its progress."""
-    operator = _make_operator(settings)
-    operator.start_drain(process)
+    """Drain an entry process and show the progress until it has stopped."""
+    client = _make_client(settings)
+    client.start_drain(process)
     last = DrainReport("draining", -1)
     while True:
         try:
-            report = operator.call(process, "GET", "/admin/drain", DrainReport)
+            report = client.call(process, "GET", "/admin/drain", DrainReport)
         except OSError:
             break
         if report != last and not json:
             print(f"{process}: {report.state}, {report.open} open", flush=True)
         last = report
-    ended = DrainReport("stopped", max(0, last.open))
+    final = DrainReport("stopped", max(0, last.open))
     if json:
-        print_json(ended)
+        print_json(final)
     else:
         print(f"{process}: stopped")
 
@@ -154,37 +156,37 @@
     logs: list[Path] | None = None,
     json: AsJson = False,
 ) -> None:
-    """Show why a request got its target, waited or was refused.
+    """Show why a request got its target, waited or was rejected.
 
     Parameters
     ----------
     logs
-        Collected logs of a routed site's processes, instead of asking processes.
+        Log files of a routed site's processes; read instead of calling the processes.
     """
     if logs:
         _explain_logs(request, logs, json)
         return
     if settings is None:
-        raise TroutstandError(ResultCode.USAGE, "--settings or --logs is needed")
-    operator = _make_operator(settings)
+        raise TroutstandError(ResultCode.USAGE, "--settings or --logs is required")
+    client = _make_client(settings)
     texts: list[str] = []
-    for process in operator.admins:
+    for process in client.admins:
         try:
-            report = operator.call(process, "GET", f"/admin/events/{request}", EventReport)
+            report = client.call(process, "GET", f"/admin/events/{request}", EventReport)
         except OSError:
-            print(f"{process} does not answer", file=sys.stderr)
+            print(f"{process} is unreachable", file=sys.stderr)
             continue
         texts += report.lines
     lines = merge_logs(texts)
     if not lines:
-        raise TroutstandError(ResultCode.NOT_FOUND, f"no process keeps events of {request!r}")
+        raise TroutstandError(ResultCode.NOT_FOUND, f"no process has events of request {request!r}")
     _print_lines(lines, json)
 
 
 def _explain_logs(request: str, logs: list[Path], json: bool) -> None:
     explanation = explain_request(read_logs(logs), request)
     if explanation is None:
-        raise TroutstandError(ResultCode.NOT_FOUND, f"no line names {request!r}")
+        raise TroutstandError(ResultCode.NOT_FOUND, f"no log line of request {request!r}")
     _print_lines([*explanation.state_lines, *explanation.steps], json)
     print(f"cause: {explanation.cause}")
 
@@ -204,7 +206,7 @@
 def trace(
     *logs: Path, output: Path, settings: SettingsFile | None = None, request: str | None = None
 ) -> None:
-    """Write the merged logs as a file that a trace viewer opens."""
+    """Write the merged logs as a trace file in the Trace Event Format."""
     lines = _select_lines(logs, settings, request)
     output.write_bytes(make_trace(lines))
     print(f"{output}: {len(lines)} events")
@@ -217,7 +219,9 @@
     if not paths and settings is not None:
         paths = [Path(name) for name in _read_settings(settings).log_files]
     if not paths:
-        raise TroutstandError(ResultCode.USAGE, "name log files, or settings that do")
+        raise TroutstandError(
+            ResultCode.USAGE, "log files are required, as arguments or as log_files in the settings"
+        )
     lines = read_logs(paths)
     return [line for line in lines if request is None or line.request == request]
 
@@ -233,8 +237,8 @@
 @table.command
 def export(folder: Path, *, settings: SettingsFile) -> None:
     """Write the table in force as CSV files."""
-    operator = _make_operator(settings)
-    report = operator.read_table(_first_live(operator))
+    client = _make_client(settings)
+    report = client.read_table(_find_reachable(client))
     for path in write_table(folder, report.version, report.rows):
         print(path)
     print(f"version {report.version}")
@@ -242,15 +246,15 @@
 
 @table.command
 def check(folder: Path) -> None:
-    """Check a table's files without sending them."""
-    print(f"{len(read_table(folder))} rows are in order")
+    """Validate a table's files locally."""
+    print(f"{len(read_table(folder))} rows are valid")
 
 
 @table.command
 def diff(folder: Path, *, settings: SettingsFile, json: AsJson = False) -> None:
     """Show how a table's files differ from the table in force."""
-    operator = _make_operator(settings)
-    report = operator.read_table(_first_live(operator))
+    client = _make_client(settings)
+    report = client.read_table(_find_reachable(client))
     differences = diff_rows({get_row_id(row): row for row in report.rows}, read_table(folder))
     if json:
         print_json([(d.row_id.kind, d.row_id.name, d.before, d.after) for d in differences])
@@ -269,22 +273,22 @@
 def accept(
     folder: Path, *, settings: SettingsFile, edit_id: str | None = None, json: AsJson = False
 ) -> None:
-    """Accept a table's files as the next version.
+    """Submit a table's files as the next version.
 
     Parameters
     ----------
     edit_id
-        Names the edit; sending the same edit again answers as the first time.
+        Idempotency key of the edit; a repeated edit returns the first result.
     """
-    operator = _make_operator(settings)
+    client = _make_client(settings)
     base = read_version(folder)
     rows = read_table(folder)
-    process = _first_live(operator)
-    edit_id = edit_id or secrets.token_urlsafe(_EDIT_BYTES)
+    process = _find_reachable(client)
+    edit_id = edit_id or secrets.token_urlsafe(_EDIT_ID_BYTES)
     print(f"edit {edit_id}, from version {base}", file=sys.stderr)
-    before = {get_row_id(row): row for row in operator.read_table(process).rows}
+    before = {get_row_id(row): row for row in client.read_table(process).rows}
     change = make_change(edit_id, base, diff_rows(before, rows))
-    report = operator.send_change(process, change)
+    report = client.send_change(process, change)
     write_table(folder, report.version, rows.values())
     if json:
         print_json(report)
@@ -294,23 +298,23 @@
 
 @keepers.command
 def form(*, settings: SettingsFile, process: str, json: AsJson = False) -> None:
-    """Make all formatted keepers the first keeper set, once in a site's life."""
-    operator = _make_operator(settings)
-    _print_keepers(operator.call(process, "POST", "/admin/keepers/form", KeepersReport), json)
+    """Form the initial keeper set from all formatted keepers; run it once per site."""
+    client = _make_client(settings)
+    _print_keepers(client.call(process, "POST", "/admin/keepers/form", KeepersReport), json)
 
 
 @keepers.command
 def replace(lost: str, *, settings: SettingsFile, process: str, json: AsJson = False) -> None:
-    """Put a keeper's newly formatted disk in the place of its lost one.
+    """Replace the lost disk of a keeper by its newly formatted one.
 
     Parameters
     ----------
     lost
-        The keeper process whose disk was lost; it runs on a new one.
+        Keeper process whose disk was lost; it already runs on the new disk.
     process
-        Another keeper process, which carries the change out.
+        Another keeper process, which coordinates the replacement.
     """
-    _print_keepers(_make_operator(settings).replace_keeper(process, lost), json)
+    _print_keepers(_make_client(settings).replace_keeper(process, lost), json)
 
 
 def _print_keepers(report: KeepersReport, as_json: bool) -> None:
@@ -322,8 +326,8 @@
         print(f"  {member}")
 
 
-def _report(error: BaseException) -> int:
-    """Print every single error and return the exit code of the first."""
+def _print_errors(error: BaseException) -> int:
+    """Print every error of a group and return the exit code of the first."""
     code = ResultCode.INTERNAL
     for single in reversed(flatten_group(error)):
         if isinstance(single, TroutstandError):
@@ -341,12 +345,12 @@
 
 
 def run() -> None:
-    """Run the command line."""
+    """Run troutstandctl and exit with its exit code."""
     exit_code = 0
     try:
         app()
     except* (TroutstandError, AdminApiError, OSError) as group:
-        exit_code = _report(group)
+        exit_code = _print_errors(group)
     sys.exit(exit_code)
 
 
--- a/troutstand/control/printing.py
+++ b/troutstand/control/printing.py
@@ -1,4 +1,4 @@
-"""Print what the command line shows."""
+"""Print values as JSON or in columns."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def print_columns(rows: list[list[str]]) -> None:
-    """Print rows as columns, each as wide as its widest cell."""
+    """Print rows in left-aligned columns."""
     widths = [max(len(row[index]) for row in rows) for index in range(len(rows[0]))]
     for row in rows:
         cells = (cell.ljust(width) for cell, width in zip(row, widths, strict=True))
--- a/troutstand/control/rollouts.py
+++ b/troutstand/control/rollouts.py
@@ -1,4 +1,4 @@
-"""Order rollouts at a routed site's keepers, and show how far they are."""
+"""Start, abort and show rollouts through the keepers of a routed site."""
 
 from __future__ import annotations
 
@@ -23,40 +23,41 @@
 rollout = App(name="rollout", help="Move a service of a routed site to another version.")
 
 Keepers = Annotated[
-    list[str], Parameter(name="--keeper", help="IP:PORT of a keeper's control address; repeatable.")
+    list[str],
+    Parameter(name="--keeper", help="Control address of a keeper as IP:PORT; repeatable."),
 ]
 _OK = 200
-_FIRST_REFUSAL, _FIRST_FAULT = 400, 500
+_MIN_CLIENT_ERROR, _MIN_SERVER_ERROR = 400, 500
 
 
 class RolloutReport(msgspec.Struct):
-    """Tell how far a rollout is, and what decided its newest state."""
+    """Hold the state of a rollout and the reason for it."""
 
     state: str
     version: str
     detail: str = ""
 
 
-class _Refusal(msgspec.Struct):
+class _ErrorEntry(msgspec.Struct):
     code: int
     detail: str = ""
 
 
-class _Refusals(msgspec.Struct):
-    errors: list[_Refusal]
+class _ErrorBody(msgspec.Struct):
+    errors: list[_ErrorEntry]
 
 
 def parse_keepers(texts: Sequence[str]) -> list[Address]:
-    """Return the addresses that were given as IP:PORT.
+    """Parse keeper addresses of the form IP:PORT.
 
     Raises
     ------
     TroutstandError
-        USAGE.
+        USAGE if an address is malformed or none is given.
     """
-    wrong = [text for text in texts if not is_address(text)]
-    if wrong or not texts:
-        detail = f"--keeper {', '.join(wrong) or 'is missing'}: {ADDRESS_FORMAT}"
+    malformed = [text for text in texts if not is_address(text)]
+    if malformed or not texts:
+        detail = f"--keeper {', '.join(malformed) or 'is missing'}: {ADDRESS_FORMAT}"
         raise TroutstandError(ResultCode.USAGE, detail)
     return [parse_address(text) for text in texts]
 
@@ -64,31 +65,31 @@
 def begin_rollout(
     keepers: Sequence[Address], service: str, version: str, duration_s: float
 ) -> None:
-    """Order a service to be moved to a version within some seconds.
+    """Order a rollout that moves a service to a version within `duration_s`.
 
     Raises
     ------
     TroutstandError
-        What the keepers refused with, or PROCESS_UNREACHABLE.
+        The error that a keeper returned, or PROCESS_UNREACHABLE if no keeper responded.
     """
     order = {"service": service, "version": version, "duration_s": duration_s}
     _call(keepers, "POST", ROLLOUTS_PATH, msgspec.json.encode(order))
 
 
 def read_rollout(keepers: Sequence[Address], service: str) -> RolloutReport:
-    """Return how far a service's rollout is.
+    """Fetch the state of a service's rollout.
 
     Raises
     ------
     TroutstandError
         As `begin_rollout`.
     """
-    answer = _call(keepers, "GET", f"{ROLLOUTS_PATH}/{service}/evidence")
-    return msgspec.json.decode(answer.body, type=RolloutReport)
+    response = _call(keepers, "GET", f"{ROLLOUTS_PATH}/{service}/evidence")
+    return msgspec.json.decode(response.body, type=RolloutReport)
 
 
 def abort_rollout(keepers: Sequence[Address], service: str) -> None:
-    """Roll a service's rollout back.
+    """Abort a service's rollout and roll it back.
 
     Raises
     ------
@@ -99,42 +100,42 @@
 
 
 def _call(keepers: Sequence[Address], method: str, path: str, body: bytes = b"") -> HttpResponse:
-    """Ask the keepers in turn until one gives a clear answer."""
-    told = "no keeper answers"
+    """Try the keepers in order until one succeeds or returns a client error."""
+    failure = "no keeper responded"
     for keeper in keepers:
         try:
-            answer = fetch(keeper, method, path, body)
+            response = fetch(keeper, method, path, body)
         except OSError as error:
-            told = f"{keeper.ip}:{keeper.port}: {error}"
+            failure = f"{keeper.ip}:{keeper.port}: {error}"
             continue
-        if answer.status == _OK:
-            return answer
-        refusal = _read_refusal(answer)
-        if _FIRST_REFUSAL <= answer.status < _FIRST_FAULT:
-            raise refusal
-        told = refusal.detail
-    raise TroutstandError(ResultCode.PROCESS_UNREACHABLE, told)
+        if response.status == _OK:
+            return response
+        keeper_error = _decode_error(response)
+        if _MIN_CLIENT_ERROR <= response.status < _MIN_SERVER_ERROR:
+            raise keeper_error
+        failure = keeper_error.detail
+    raise TroutstandError(ResultCode.PROCESS_UNREACHABLE, failure)
 
 
-def _read_refusal(answer: HttpResponse) -> TroutstandError:
+def _decode_error(response: HttpResponse) -> TroutstandError:
     try:
-        first = msgspec.json.decode(answer.body, type=_Refusals).errors[0]
+        first = msgspec.json.decode(response.body, type=_ErrorBody).errors[0]
         return TroutstandError(ResultCode(first.code), first.detail)
     except (msgspec.DecodeError, IndexError, ValueError):
-        detail = f"status {answer.status}"
+        detail = f"status {response.status}"
         return TroutstandError(ResultCode.PROCESS_UNREACHABLE, detail)
 
 
 @rollout.command
 def begin(service: str, version: str, *, within_s: float, keeper: Keepers) -> None:
-    """Order a service to be moved to a version within some seconds."""
+    """Order a rollout that moves a service to a version within a time in seconds."""
     begin_rollout(parse_keepers(keeper), service, version, within_s)
     print(f"{service}: moving to {version} within {within_s:g} s")
 
 
 @rollout.command
 def status(service: str, *, keeper: Keepers, json: AsJson = False) -> None:
-    """Show how far a service's rollout is, and what decided its newest state."""
+    """Show the state of a service's rollout and the reason for it."""
     report = read_rollout(parse_keepers(keeper), service)
     if json:
         print_json(report)
@@ -145,6 +146,6 @@
 
 @rollout.command
 def abort(service: str, *, keeper: Keepers) -> None:
-    """Roll a service's rollout back."""
+    """Abort a service's rollout and roll it back."""
     abort_rollout(parse_keepers(keeper), service)
     print(f"{service}: rolled back")
