--- a/troutstand/control/tablefiles.py
+++ b/troutstand/control/tablefiles.py
@@ -1,4 +1,4 @@
-"""Keep the operators' table as CSV files, one a kind of row."""
+"""Read and write the operators' table as CSV files, one per kind of row."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     return ROW_CLASSES[kind].__struct_fields__
 
 
-def _write_cell(value: Any) -> str:
+def _format_cell(value: Any) -> str:
     if isinstance(value, list):
         return _LIST_SEPARATOR.join(value)
     if isinstance(value, bool):
@@ -36,18 +36,18 @@
 
 
 def write_table(folder: Path, version: int, rows: Iterable[Row]) -> list[Path]:
-    """Write a table's rows, sorted by name, and the version they are of."""
+    """Write a table's rows, sorted by name, and its version; return the paths of the CSV files."""
     folder.mkdir(parents=True, exist_ok=True)
     written: list[Path] = []
-    by_name = {get_row_id(row): row for row in rows}
+    by_id = {get_row_id(row): row for row in rows}
     for kind in RowKind:
         fields = _list_fields(kind)
         text = io.StringIO()
         writer = csv.writer(text, lineterminator="\n")
         writer.writerow(fields)
-        for name in sorted(name for name in by_name if name.kind is kind):
-            plain = msgspec.to_builtins(by_name[name])
-            writer.writerow([_write_cell(plain[field]) for field in fields])
+        for row_id in sorted(row_id for row_id in by_id if row_id.kind is kind):
+            values = msgspec.to_builtins(by_id[row_id])
+            writer.writerow([_format_cell(values[field]) for field in fields])
         path = folder / f"{kind.value}s.csv"
         path.write_text(text.getvalue())
         written.append(path)
@@ -56,23 +56,23 @@
 
 
 def read_version(folder: Path) -> int:
-    """Read the version that the files were exported from.
+    """Read the table version that the files were exported from.
 
     Raises
     ------
     TroutstandError
-        TABLE_INVALID where there is none.
+        TABLE_INVALID if the version file is missing or malformed.
     """
     try:
         return int((folder / VERSION_FILE).read_text())
     except (OSError, ValueError) as error:
-        detail = f"{folder.name}/{VERSION_FILE} must hold the exported version: {error}"
+        detail = f"{folder.name}/{VERSION_FILE} must contain the exported version: {error}"
         raise TroutstandError(ResultCode.TABLE_INVALID, detail) from error
 
 
-def _read_cell(text: str, row_class: type[Row], field: str) -> object:
-    kind = next(item for item in msgspec.structs.fields(row_class) if item.name == field)
-    default = kind.default if kind.default is not msgspec.NODEFAULT else None
+def _parse_cell(text: str, row_class: type[Row], field: str) -> object:
+    info = next(item for item in msgspec.structs.fields(row_class) if item.name == field)
+    default = info.default if info.default is not msgspec.NODEFAULT else None
     is_list = field in ("serves", "unrepeatable")
     if is_list:
         return [part for part in text.split(_LIST_SEPARATOR) if part]
@@ -81,18 +81,18 @@
     return text
 
 
-def _read_row(
-    place: str, kind: RowKind, header: list[str], cells: list[str]
+def _parse_row(
+    location: str, kind: RowKind, header: list[str], cells: list[str]
 ) -> Row | TroutstandError:
     row_class = ROW_CLASSES[kind]
     if len(cells) != len(header):
-        detail = f"{place}: {len(cells)} cells, {len(header)} columns"
+        detail = f"{location}: {len(cells)} cells, but {len(header)} columns"
         return TroutstandError(ResultCode.TABLE_INVALID, detail)
-    plain = {f: _read_cell(c, row_class, f) for f, c in zip(header, cells, strict=True)}
+    values = {f: _parse_cell(c, row_class, f) for f, c in zip(header, cells, strict=True)}
     try:
-        return msgspec.convert({"kind": kind.value, **plain}, row_class, strict=False)
+        return msgspec.convert({"kind": kind.value, **values}, row_class, strict=False)
     except msgspec.ValidationError as error:
-        return TroutstandError(ResultCode.TABLE_INVALID, f"{place}: {error}")
+        return TroutstandError(ResultCode.TABLE_INVALID, f"{location}: {error}")
 
 
 def _read_file(path: Path, kind: RowKind) -> list[Row | TroutstandError]:
@@ -104,22 +104,24 @@
     unknown = [field for field in header if field not in _list_fields(kind)]
     if unknown or "name" not in header:
         accepted = ", ".join(_list_fields(kind))
-        detail = f"{path.name}: column {unknown or 'name'}; accepted are {accepted}"
+        detail = (
+            f"{path.name}: unknown or missing column {unknown or 'name'}; columns are {accepted}"
+        )
         return [TroutstandError(ResultCode.TABLE_INVALID, detail)]
     return [
-        _read_row(f"{path.name} line {number}", kind, header, cells)
+        _parse_row(f"{path.name} line {number}", kind, header, cells)
         for number, cells in enumerate(lines[1:], start=2)
         if cells
     ]
 
 
 def read_table(folder: Path) -> dict[RowId, Row]:
-    """Read and check a table's files.
+    """Read and validate a table's files.
 
     Raises
     ------
     ExceptionGroup
-        Of TroutstandError TABLE_INVALID, one for each fault.
+        One TroutstandError TABLE_INVALID for each error in the files.
     """
     rows: dict[RowId, Row] = {}
     errors: list[TroutstandError] = []
@@ -128,12 +130,12 @@
             if isinstance(item, TroutstandError):
                 errors.append(item)
                 continue
-            name = get_row_id(item)
-            if name in rows:
-                detail = f"{kind.value} {item.name} stands twice"
+            row_id = get_row_id(item)
+            if row_id in rows:
+                detail = f"{kind.value} {item.name} is defined twice"
                 errors.append(TroutstandError(ResultCode.TABLE_INVALID, detail))
-            rows[name] = item
+            rows[row_id] = item
     errors += [TroutstandError(ResultCode.TABLE_INVALID, text) for text in check_rows(rows)]
     if errors:
-        raise ExceptionGroup("the table is wrong", errors)
+        raise ExceptionGroup("the table is invalid", errors)
     return rows
--- a/troutstand/control/timeline.py
+++ b/troutstand/control/timeline.py
@@ -1,4 +1,4 @@
-"""Merge the logs of all processes into one time line in causal order."""
+"""Merge the logs of all processes into one timeline in causal order."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
     from pathlib import Path
 
 _PAIR = re.compile(r'(\w+)=("(?:[^"\\]|\\.)*"|\S+)')
-_MICROSECONDS_A_MILLISECOND = 1000
+_US_PER_MS = 1000
 
 
 @dataclass(frozen=True)
 class LogLine:
-    """Carry one log line, read back."""
+    """Hold one parsed log line."""
 
     stamp: Stamp
     process: str
@@ -37,7 +37,7 @@
 
 
 def parse_line(text: str) -> LogLine | None:
-    """Read a log line back; None for what is no event."""
+    """Parse a log line; return None if it is not an event."""
     fields = {key: _unquote(value) for key, value in _PAIR.findall(text)}
     wall, _, counter = fields.get("at", "").partition(".")
     if not wall.isdigit() or not counter.isdigit() or "event" not in fields:
@@ -53,18 +53,18 @@
 
 
 def merge_logs(texts: Iterable[str]) -> list[LogLine]:
-    """Merge log lines in the order of their hybrid logical clocks."""
+    """Parse log lines and sort them by their hybrid logical clocks."""
     lines = [line for text in texts if (line := parse_line(text)) is not None]
     return sorted(lines, key=lambda line: (line.stamp, line.process))
 
 
 def read_logs(paths: Iterable[Path]) -> list[LogLine]:
-    """Merge log files."""
+    """Read and merge log files."""
     return merge_logs(text for path in paths for text in path.read_text().splitlines())
 
 
 class TraceEvent(msgspec.Struct, frozen=True):
-    """Carry one event in the Trace Event Format that trace viewers open."""
+    """Describe one event of the Trace Event Format."""
 
     name: str
     ph: str
@@ -77,28 +77,28 @@
 
 
 class TraceFile(msgspec.Struct, frozen=True, rename="camel"):
-    """Carry a whole trace."""
+    """Describe a trace file of the Trace Event Format."""
 
     trace_events: list[TraceEvent]
 
 
 def make_trace(lines: list[LogLine]) -> bytes:
-    """Make a trace file: events as instants, and spans where a duration is known."""
+    """Make a trace file: spans from lines with a duration, instants from all others."""
     events: list[TraceEvent] = []
     for line in lines:
-        micros = line.stamp.wall_ms * _MICROSECONDS_A_MILLISECOND + line.stamp.counter
+        time_us = line.stamp.wall_ms * _US_PER_MS + line.stamp.counter
         total_ms = line.fields.get("total_ms", "")
         is_span = total_ms.isdigit()
-        duration = int(total_ms) * _MICROSECONDS_A_MILLISECOND if is_span else 0
+        duration_us = int(total_ms) * _US_PER_MS if is_span else 0
         events.append(
             TraceEvent(
                 name=line.event,
                 ph="X" if is_span else "i",
-                ts=micros - duration,
+                ts=time_us - duration_us,
                 pid=line.process,
                 tid=line.request or "process",
                 args=line.fields,
-                dur=duration,
+                dur=duration_us,
             )
         )
     return msgspec.json.encode(TraceFile(events))
--- a/troutstand/tests/control.feature
+++ b/troutstand/tests/control.feature
@@ -15,7 +15,7 @@
       | an unknown column      | workspaces.csv                 |
       | a bad number           | tiers.csv line 4               |
       | an unknown tier        | workspace counter              |
-      | two rows of one name   | stands twice                   |
+      | two rows of one name   | is defined twice               |
       | a missing file         | models.csv is missing          |
 
   Scenario: Log lines of several processes merge in causal order
--- a/troutstand/tests/steps/walk.py
+++ b/troutstand/tests/steps/walk.py
@@ -89,13 +89,13 @@
     assert cause in context.explanation.cause, context.explanation.cause
 
 
-@then("the beliefs hold {belief} and none of other processes")
-def check_beliefs(context: Context, belief: str) -> None:
+@then("the state lines hold {state} and none of other processes")
+def check_state_lines(context: Context, state: str) -> None:
     texts = [line.text for line in context.explanation.state_lines]
-    assert any(belief in text for text in texts), texts
+    assert any(state in text for text in texts), texts
     assert not any("edge-2" in text for text in texts), texts
 
 
-@then("nothing is told")
+@then("there is no explanation")
 def check_nothing(context: Context) -> None:
     assert context.explanation is None
