--- a/troutstand/daemon/node.py
+++ b/troutstand/daemon/node.py
@@ -1,4 +1,4 @@
-"""Hold what entry and keeper processes have in common."""
+"""Provide the parts that entry and keeper processes share."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class Node:
-    """Hold one process's identity, events, links and heartbeats."""
+    """Hold a process's identity, events, links and background tasks."""
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
@@ -39,16 +39,22 @@
         self.events = EventBus(self.process, HybridClock(time.time))
         self.identity = Identity(settings.site, self.process, bytes.fromhex(settings.link_key_hex))
         self.peers = Peers(settings, self.identity, self.events)
-        self.make_heartbeat: Callable[[ProcessId], Heartbeat] = self._make_bare_heartbeat
+        self.make_heartbeat: Callable[[ProcessId], Heartbeat] = self._make_default_heartbeat
         self._tasks: set[asyncio.Task[None]] = set()
         self._commands: set[asyncio.Task[Outcome]] = set()
         self._server: LinkServer | None = None
 
-    def _make_bare_heartbeat(self, peer: ProcessId) -> Heartbeat:
+    def _make_default_heartbeat(self, peer: ProcessId) -> Heartbeat:
         return Heartbeat(self.process, self.incarnation, self.state, 0)
 
     async def start(self, handler: Handler) -> None:
-        """Open the log, the link server and the links."""
+        """Open the log, the link server and the links.
+
+        Raises
+        ------
+        TroutstandError
+            ADDRESS_IN_USE.
+        """
         open_log(self.settings.log_file)
         self.events.enable_log()
         if self.settings.statsd:
@@ -60,51 +66,51 @@
         try:
             await self._server.start(self.settings.link)
         except OSError as error:
-            address = f"link {self.settings.link.ip}:{self.settings.link.port}: {error}"
-            raise TroutstandError(ResultCode.ADDRESS_IN_USE, address) from error
+            detail = f"link {self.settings.link.ip}:{self.settings.link.port}: {error}"
+            raise TroutstandError(ResultCode.ADDRESS_IN_USE, detail) from error
         for task in self.peers.start_links():
             self.track_task(task)
-        self.spawn(watch_suspends(self._note_suspended), "suspends")
+        self.spawn(watch_suspends(self._log_suspend), "suspends")
         self.events.emit("process_started", incarnation=self.incarnation)
 
-    def _note_suspended(self, length_s: float) -> None:
+    def _log_suspend(self, length_s: float) -> None:
         self.events.emit("host_suspended", length_s=length_s)
 
     def spawn(self, coroutine: Coroutine[None, None, None], name: str) -> None:
-        """Run a coroutine until the process stops."""
+        """Run a coroutine as a task that is cancelled on stop; log its failure."""
         self.track_task(asyncio.create_task(coroutine, name=name))
 
     def track_task(self, task: asyncio.Task[None]) -> None:
-        """Keep a task alive and report it if it fails."""
+        """Hold a reference to a task until it ends, and log its failure."""
         self._tasks.add(task)
-        task.add_done_callback(self._report_task)
+        task.add_done_callback(self._finish_task)
 
     def track_command(self, task: asyncio.Task[Outcome]) -> None:
-        """Keep a command's task alive; its caller, if still there, reports it."""
+        """Hold a reference to a command's task until it ends, and log an unexpected failure."""
         self._commands.add(task)
-        task.add_done_callback(self._forget_command)
+        task.add_done_callback(self._finish_command)
 
-    def _forget_command(self, task: asyncio.Task[Outcome]) -> None:
+    def _finish_command(self, task: asyncio.Task[Outcome]) -> None:
         self._commands.discard(task)
         if task.cancelled():
             return
-        # A numbered error was logged as command_refused, whether its caller is there or not.
+        # A TroutstandError is already logged as command_refused.
         if not isinstance(task.exception(), TroutstandError):
-            self._note_failed(task)
+            self._log_failure(task)
 
-    def _report_task(self, task: asyncio.Task[None]) -> None:
+    def _finish_task(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
         if not task.cancelled():
-            self._note_failed(task)
+            self._log_failure(task)
 
-    def _note_failed(self, task: asyncio.Task[Any]) -> None:
+    def _log_failure(self, task: asyncio.Task[Any]) -> None:
         if task.exception() is None:
             return
         detail = f"{task.get_name()}: {task.exception()!r}"
         self.events.emit("task_failed", code=ResultCode.INTERNAL, detail=detail)
 
     async def stop(self) -> None:
-        """Cancel what runs and close the links."""
+        """Cancel the tasks and close the link server."""
         self.state = ProcessState.stopped
         for task in list(self._tasks):
             task.cancel()
@@ -113,11 +119,11 @@
         self.events.emit("process_stopped")
 
     def send_heartbeats(self) -> None:
-        """Tell every peer what this process is and knows."""
+        """Send this process's heartbeat to every peer."""
         for peer in self.peers.process_ids:
             self.peers.send(peer, self.make_heartbeat(peer))
 
     def record_heartbeat(self, heartbeat: Heartbeat) -> None:
-        """Note a peer's heartbeat."""
+        """Store a peer's heartbeat with the time of its arrival."""
         process = ProcessId(heartbeat.process)
         self.peers.heartbeats[process] = ReceivedHeartbeat(heartbeat, read_clock_s())
--- a/troutstand/daemon/peers.py
+++ b/troutstand/daemon/peers.py
@@ -1,4 +1,4 @@
-"""Keep the links to all peers and what their heartbeats tell."""
+"""Hold the links to the peers and their latest heartbeats."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 
 @dataclass(frozen=True)
 class ReceivedHeartbeat:
-    """Keep a peer's latest heartbeat and when it came."""
+    """Pair a peer's latest heartbeat with the time it was received."""
 
     heartbeat: Heartbeat
     received_s: float
 
 
 class Peers:
-    """Ask and tell the other processes of the site."""
+    """Send messages to the other processes of the site and track their heartbeats."""
 
     def __init__(self, settings: Settings, identity: Identity, events: EventBus) -> None:
         self.identity = identity
@@ -54,42 +54,42 @@
 
     @property
     def process_ids(self) -> frozenset[ProcessId]:
-        """Return every other process of the site."""
+        """Return the ids of all other processes of the site."""
         return frozenset(self.links)
 
     def start_links(self) -> list[asyncio.Task[None]]:
-        """Start to keep every link open and return the tasks."""
+        """Start a task for each link and return the tasks."""
         return [asyncio.create_task(link.run(), name=f"link {p}") for p, link in self.links.items()]
 
     def is_refused(self, process: str) -> bool:
-        """Tell whether a process has surely ended."""
+        """Return whether a process refuses connections, which means that it has ended."""
         link = self.links.get(ProcessId(process))
         return link is not None and link.is_refused
 
     def is_live(self, process: ProcessId, now_s: float, within_s: float) -> bool:
-        """Tell whether a process was heard lately."""
-        heard = self.heartbeats.get(process)
-        return heard is not None and now_s - heard.received_s <= within_s
+        """Return whether a process sent a heartbeat within the last `within_s` seconds."""
+        latest = self.heartbeats.get(process)
+        return latest is not None and now_s - latest.received_s <= within_s
 
     def send(self, process: str, message: PeerMessage) -> bool:
-        """Send a message without an answer; tell whether it was queued."""
+        """Send a message that expects no reply; return whether it was queued."""
         link = self.links.get(ProcessId(process))
         return link is not None and link.send(message)
 
     def broadcast(self, message: PeerMessage, to: Iterable[ProcessId] | None = None) -> None:
-        """Send a message to many peers."""
+        """Send a message to the given peers, by default to all."""
         for process in self.links if to is None else to:
             self.send(process, message)
 
     async def ask(self, process: str, message: PeerMessage, timeout_s: float) -> PeerMessage:
-        """Ask a peer.
+        """Send a message to a peer and return the reply.
 
         Raises
         ------
         TroutstandError
-            Those of `Link.ask`; LINK_REFUSED for an unknown peer.
+            The errors of `Link.ask`; LINK_REFUSED for an unknown peer.
         """
         link = self.links.get(ProcessId(process))
         if link is None:
-            raise TroutstandError(ResultCode.LINK_REFUSED, f"no peer {process!r}")
+            raise TroutstandError(ResultCode.LINK_REFUSED, f"unknown peer {process!r}")
         return await link.ask(message, timeout_s)
