--- a/troutstand/daemon/main.py
+++ b/troutstand/daemon/main.py
@@ -1,4 +1,4 @@
-"""Begin a process of troutstand before anything else is loaded."""
+"""Start a troutstand process."""
 
 from __future__ import annotations
 
@@ -7,6 +7,7 @@
 
 def run() -> None:
     """Run the command line."""
+    # Importing the command line takes time, during which a reload signal would end the process.
     ignore_reload()
     from troutstand.daemon.cli import app
 
--- a/troutstand/daemon/placement.py
+++ b/troutstand/daemon/placement.py
@@ -1,4 +1,4 @@
-"""Ask the failure domain's scheduler for targets and take its orders."""
+"""Request targets from the failure domain's scheduler and apply its decisions."""
 
 from __future__ import annotations
 
@@ -36,57 +36,58 @@
 Deliver = Callable[[ProcessId, PeerMessage], bool]
 OnPreempt = Callable[[float], None]
 
-_MILLISECONDS = 1000
-# The scheduler answers within a request's patience; beyond it, it is gone.
-_GRACE_S = 0.5
-_RETRY_S = 1.0
+_MS_PER_S = 1000
+# The scheduler replies within a request's wait time; this much later it counts as unreachable.
+_REPLY_GRACE_S = 0.5
+_RETRY_AFTER_S = 1.0
 
 
 @dataclass
-class _Pending:
+class _PendingRequest:
     ask: PlacementAsk
-    answer: asyncio.Future[Grant]
+    grant: asyncio.Future[Grant]
 
 
 @dataclass
-class _Running:
-    item: RunningRequest
+class _PlacedRequest:
+    request: RunningRequest
     on_preempt: OnPreempt
 
 
 @dataclass
 class Placement:
-    """Keep this process's waiting and running requests known to the scheduler.
+    """Track this process's waiting and running requests and report them to the scheduler.
 
     Parameters
     ----------
     deliver
-        Sends a message to the scheduler's process, which may be this one.
+        Sends a message to a scheduler's process, which may be this one; returns whether it
+        was queued.
     """
 
     process: ProcessId
     events: EventBus
     deliver: Deliver
     scheduler: ProcessId | None = None
-    # What callers here were refused for, so that it outlives the scheduler.
+    # Crash histories from rejections, kept for the next scheduler.
     _crashes: CrashTracker = field(default_factory=CrashTracker)
-    # What targets said of themselves, for the same reason.
+    # Notices of the targets, kept for the next scheduler.
     _notices: NoticeStore = field(default_factory=NoticeStore)
-    _pending: dict[str, _Pending] = field(default_factory=dict)
-    _running: dict[str, _Running] = field(default_factory=dict)
+    _pending: dict[str, _PendingRequest] = field(default_factory=dict)
+    _running: dict[str, _PlacedRequest] = field(default_factory=dict)
 
     @property
     def running_count(self) -> int:
-        """Return how many granted requests run."""
+        """Return the number of granted requests that are in flight."""
         return len(self._running)
 
     @property
     def waiting_count(self) -> int:
-        """Return how many requests wait for a grant."""
+        """Return the number of requests that wait for a grant."""
         return len(self._pending)
 
     def switch_scheduler(self, scheduler: ProcessId | None) -> None:
-        """Turn to another scheduler: tell it what runs, then what waits."""
+        """Switch to another scheduler and resend all requests to it."""
         if scheduler == self.scheduler:
             return
         self.scheduler = scheduler
@@ -95,8 +96,8 @@
             self.resend_requests()
 
     def resend_requests(self) -> None:
-        """Tell the scheduler everything that runs and waits here."""
-        running = [run.item for run in self._running.values()]
+        """Send the running requests, crash histories and notices, then the waiting requests."""
+        running = [run.request for run in self._running.values()]
         now_s = read_clock_s()
         crashes = self._crashes.list_histories(now_s)
         notices = self._notices.list_notices(now_s)
@@ -108,83 +109,84 @@
         return self.scheduler is not None and self.deliver(self.scheduler, message)
 
     async def place(self, ask: PlacementAsk, on_preempt: OnPreempt) -> Grant:
-        """Wait for a target; the caller must `finish` the grant.
+        """Request a target and wait for it; the caller must `finish` the grant.
 
         Raises
         ------
         TroutstandError
-            The scheduler's refusal, or NO_SCHEDULER.
+            The scheduler's rejection, or NO_SCHEDULER if it does not reply.
         """
-        answer: asyncio.Future[Grant] = asyncio.get_running_loop().create_future()
-        self._pending[ask.request] = _Pending(ask, answer)
+        reply: asyncio.Future[Grant] = asyncio.get_running_loop().create_future()
+        self._pending[ask.request] = _PendingRequest(ask, reply)
         self._send(ask)
         try:
-            async with asyncio.timeout(ask.wait_ms / _MILLISECONDS + _GRACE_S):
-                grant = await answer
+            async with asyncio.timeout(ask.wait_ms / _MS_PER_S + _REPLY_GRACE_S):
+                grant = await reply
         except TimeoutError as error:
             self._send(Withdraw(ask.request))
-            detail = f"scheduler {self.scheduler or 'unknown'} did not answer"
+            detail = f"scheduler {self.scheduler or 'unknown'} did not reply"
             raise TroutstandError(
-                ResultCode.NO_SCHEDULER, detail, retry_after_s=_RETRY_S
+                ResultCode.NO_SCHEDULER, detail, retry_after_s=_RETRY_AFTER_S
             ) from error
         except asyncio.CancelledError:
             self._send(Withdraw(ask.request))
-            if answer.done() and not answer.cancelled() and answer.exception() is None:
-                self._give_back(answer.result())
+            if reply.done() and not reply.cancelled() and reply.exception() is None:
+                self._return_grant(reply.result())
             raise
         finally:
             self._pending.pop(ask.request, None)
-        self._running[ask.request] = _Running(RunningRequest(ask, grant.target), on_preempt)
+        self._running[ask.request] = _PlacedRequest(RunningRequest(ask, grant.target), on_preempt)
         return grant
 
     def finish(self, finished: Finished) -> None:
-        """Tell the scheduler that a granted request ended."""
+        """Report to the scheduler that a granted request ended."""
         self._running.pop(finished.request, None)
         self._send(finished)
 
     def handle_notice(self, request: str, notice: TargetNotice, asked_s: float) -> None:
-        """Take what the answer to a request, sent at a time, says of its target.
+        """Store a target's notice from the answer to a request and forward it to the scheduler.
 
-        The scheduler is told at once: the end of a stream may be far off.
+        `asked_s` is the time at which the request was sent. A new notice, or one with a rate
+        limit, is forwarded before the answer ends, because a stream may take long.
         """
         now_s = read_clock_s()
-        is_news = self._notices.record(notice, asked_s, now_s)
-        if is_news:
+        is_new = self._notices.record(notice, asked_s, now_s)
+        if is_new:
             emit_notice_received(self.events, request, notice)
-        if is_news or notice.limit_per_s is not None:
-            told = msgspec.structs.replace(notice, asked_age_s=now_s - asked_s)
-            self._send(TargetNotices([told]))
+        if is_new or notice.limit_per_s is not None:
+            aged_notice = msgspec.structs.replace(notice, asked_age_s=now_s - asked_s)
+            self._send(TargetNotices([aged_notice]))
 
-    def _give_back(self, grant: Grant) -> None:
+    def _return_grant(self, grant: Grant) -> None:
         self._send(Finished(grant.request, grant.target, False))
 
     def receive(self, message: Grant | Shed | Preempt) -> None:
-        """Take an answer or order of the scheduler."""
+        """Handle a grant, rejection or preemption from the scheduler."""
         match message:
             case Grant():
-                self._take_grant(message)
+                self._handle_grant(message)
             case Shed():
-                self._take_shed(message)
+                self._handle_shed(message)
             case Preempt(request, retry_after_ms):
                 run = self._running.get(request)
                 if run:
-                    run.on_preempt(retry_after_ms / _MILLISECONDS)
+                    run.on_preempt(retry_after_ms / _MS_PER_S)
 
-    def _take_grant(self, grant: Grant) -> None:
+    def _handle_grant(self, grant: Grant) -> None:
         pending = self._pending.get(grant.request)
-        if pending is None or pending.answer.done():
-            # Nobody waits for it any more; without this its slot were lost.
+        if pending is None or pending.grant.done():
+            # The request was withdrawn, so the grant is returned to free its slot.
             if grant.request not in self._running:
-                self._give_back(grant)
+                self._return_grant(grant)
             return
         self._notices.clear_leaving(grant.target)
-        pending.answer.set_result(grant)
+        pending.grant.set_result(grant)
 
-    def _take_shed(self, shed: Shed) -> None:
+    def _handle_shed(self, shed: Shed) -> None:
         self._crashes.merge(shed.crashes, read_clock_s())
         pending = self._pending.get(shed.request)
-        if pending is None or pending.answer.done():
+        if pending is None or pending.grant.done():
             return
-        retry_s = shed.retry_after_ms / _MILLISECONDS
+        retry_s = shed.retry_after_ms / _MS_PER_S
         error = TroutstandError(ResultCode(shed.code), shed.detail, retry_after_s=retry_s)
-        pending.answer.set_exception(error)
+        pending.grant.set_exception(error)
--- a/troutstand/daemon/relay.py
+++ b/troutstand/daemon/relay.py
@@ -1,4 +1,4 @@
-"""Relay one engine's answer to its caller: whole, or as an error."""
+"""Read an engine's answer, resume it after an interruption, and assemble it for the caller."""
 
 from __future__ import annotations
 
@@ -21,22 +21,22 @@
     from troutstand.daemon.requests import EngineRequest
 
 MAX_RESUMES = 3
-# A target that sends nothing for this long, while much less was expected,
-# counts as stalled.
-MIN_STALL_S = 2.0
-STALL_FACTOR = 8.0
-_MILLISECONDS = 1000
-_JSON = "application/json"
+# A target that sends nothing for this long, and for this multiple of the expected time to
+# the first token, counts as stalled.
+MIN_STALL_TIMEOUT_S = 2.0
+STALL_TIMEOUT_FACTOR = 8.0
+_MS_PER_S = 1000
+_JSON_CONTENT_TYPE = "application/json"
 
 
 class PromptDetails(msgspec.Struct):
-    """Carry how much of the prompt came from the engine's cache."""
+    """Hold the number of prompt tokens that the engine served from its cache."""
 
     cached_tokens: int = 0
 
 
 class Usage(msgspec.Struct):
-    """Carry an answer's token counts."""
+    """Hold the token counts of an answer."""
 
     prompt_tokens: int = 0
     completion_tokens: int = 0
@@ -45,14 +45,14 @@
 
 
 class UsageEvent(msgspec.Struct):
-    """Carry the last event of an answer."""
+    """Hold the final event of an answer, which reports the usage."""
 
     usage: Usage
 
 
 @dataclass
 class Progress:
-    """Follow one answer's timing and counts."""
+    """Track the timing, token usage and resumes of one answer."""
 
     started_s: float
     first_token_s: float | None = None
@@ -61,23 +61,23 @@
     suspends: SuspendWatch = field(default_factory=SuspendWatch)
 
     def first_token_ms(self) -> int:
-        """Return the time to the first token in milliseconds."""
+        """Return the time to the first token in milliseconds, or 0 before it."""
         if self.first_token_s is None:
             return 0
-        return max(1, int((self.first_token_s - self.started_s) * _MILLISECONDS))
+        return max(1, int((self.first_token_s - self.started_s) * _MS_PER_S))
 
     def total_ms(self) -> int:
         """Return the time since the start in milliseconds."""
-        return int((read_clock_s() - self.started_s) * _MILLISECONDS)
+        return int((read_clock_s() - self.started_s) * _MS_PER_S)
 
 
 class EngineRelay:
-    """Read one answer from one target, resuming it where the target can.
+    """Read one answer from one target, and resume it if the target supports that.
 
     Parameters
     ----------
     expected_first_s
-        When the first token is expected; much later counts as a stall.
+        The expected seconds to the first token; sets the stall timeout.
     """
 
     def __init__(
@@ -92,39 +92,39 @@
         self._backend = backend
         self._request = request
         self._deadline_s = deadline_s
-        self._stall_s = max(MIN_STALL_S, STALL_FACTOR * expected_first_s)
+        self._stall_timeout_s = max(MIN_STALL_TIMEOUT_S, STALL_TIMEOUT_FACTOR * expected_first_s)
         self.stream = AnswerStream(
             make_completion_id(request.request), backend.row.resumes, limit_bytes
         )
 
     async def read(self) -> AsyncIterator[list[AnswerEvent]]:
-        """Yield the answer's events in the batches in which they come.
+        """Yield the answer's events in batches, as they arrive.
 
         Raises
         ------
         TroutstandError
-            Where the answer does not come whole.
+            If the answer is not received completely.
         """
         while not self.stream.is_complete:
             try:
-                async for batch in self._read_once():
+                async for batch in self._read_attempt():
                     yield batch
                 if not self.stream.is_complete:
                     raise TroutstandError(
                         ResultCode.ANSWER_CUT,
-                        f"after event {self.stream.last_number}",
+                        f"the stream ended after event {self.stream.last_number}",
                         Run.UNKNOWN,
                     )
             except TroutstandError as error:
                 if not self._may_resume(error):
-                    raise self._tell_begun(error) from error
+                    raise self._convert_if_begun(error) from error
                 self.progress.resumes += 1
                 self.stream.resume()
 
-    def _tell_begun(self, error: TroutstandError) -> TroutstandError:
-        """Return the error as one of an answer that had begun, where it had.
+    def _convert_if_begun(self, error: TroutstandError) -> TroutstandError:
+        """Return ANSWER_CUT for an unreachable target that sent part of the answer before.
 
-        The target that refuses the connection now had run the request before.
+        TARGET_UNREACHABLE would mean that the request never ran.
         """
         if error.code is not ResultCode.TARGET_UNREACHABLE or self.stream.last_number < 0:
             return error
@@ -137,30 +137,30 @@
             return False
         return self.progress.resumes < MAX_RESUMES
 
-    async def _read_once(self) -> AsyncIterator[list[AnswerEvent]]:
+    async def _read_attempt(self) -> AsyncIterator[list[AnswerEvent]]:
         source = self._backend.stream(self._make_call())
         try:
             while True:
                 try:
-                    async with asyncio.timeout(self._stall_s):
+                    async with asyncio.timeout(self._stall_timeout_s):
                         data = await anext(source)
                 except StopAsyncIteration:
                     return
                 except TimeoutError as error:
                     raise TroutstandError(
                         ResultCode.TARGET_TIMEOUT,
-                        f"{self._backend.row.name} sent nothing for {self._stall_s:.1f} s",
+                        f"{self._backend.row.name} sent nothing for {self._stall_timeout_s:.1f} s",
                         Run.UNKNOWN,
                     ) from error
                 events = self.stream.feed(data)
                 if events:
-                    yield self._note(events)
+                    yield self._record_events(events)
                 if self.stream.is_complete:
                     return
         finally:
             await source.aclose()  # pyright: ignore[reportAttributeAccessIssue]
 
-    def _note(self, events: list[AnswerEvent]) -> list[AnswerEvent]:
+    def _record_events(self, events: list[AnswerEvent]) -> list[AnswerEvent]:
         if self.progress.first_token_s is None:
             self.progress.first_token_s = read_clock_s()
         if events[-1].is_usage:
@@ -173,27 +173,27 @@
 
     def _make_call(self) -> Call:
         remaining_s = max(0.05, self._deadline_s - read_clock_s())
-        number = self.stream.last_number
+        last_number = self.stream.last_number
         return Call(
             request=self._request.request,
             method="POST",
             path=self._request.path,
             body=self._request.body,
-            content_type=_JSON,
+            content_type=_JSON_CONTENT_TYPE,
             priority=self._request.caller.tier.rank,
             timeout_s=remaining_s,
-            resume_after=number if number >= 0 else None,
+            resume_after=last_number if last_number >= 0 else None,
         )
 
 
 class Delta(msgspec.Struct):
-    """Carry a piece of a chat answer."""
+    """Hold the next part of a chat answer."""
 
     content: str | None = None
 
 
 class Choice(msgspec.Struct):
-    """Carry one choice of an event."""
+    """Hold one choice of an event."""
 
     delta: Delta | None = None
     text: str | None = None
@@ -201,7 +201,7 @@
 
 
 class ChunkBody(msgspec.Struct):
-    """Carry one event of an answer."""
+    """Hold one event of an answer."""
 
     id: str
     created: int = 0
@@ -210,14 +210,14 @@
 
 
 class AssembledMessage(msgspec.Struct):
-    """Carry a whole chat answer."""
+    """Hold the message of a complete chat answer."""
 
     content: str
     role: str = "assistant"
 
 
 class AssembledChoice(msgspec.Struct, omit_defaults=True):
-    """Carry the one choice of a whole answer."""
+    """Hold the only choice of a complete answer."""
 
     finish_reason: str
     index: int | None = None
@@ -226,7 +226,7 @@
 
 
 class AssembledBody(msgspec.Struct):
-    """Carry a whole answer for a caller that did not ask for a stream."""
+    """Hold a complete answer for a caller that did not request a stream."""
 
     id: str
     object: str
@@ -237,12 +237,12 @@
 
 
 def assemble_answer(events: list[AnswerEvent], is_chat: bool, usage: Usage | None) -> bytes:
-    """Put a whole answer's events together into one body.
+    """Assemble the events of a complete answer into one response body.
 
     Raises
     ------
     TroutstandError
-        TARGET_FAULT where an event is malformed.
+        TARGET_FAULT if an event is malformed.
     """
     try:
         chunks = [msgspec.json.decode(e.data, type=ChunkBody) for e in events if not e.is_usage]
@@ -253,12 +253,14 @@
         text = "".join(c.delta.content or "" for c in choices if c.delta)
     else:
         text = "".join(c.text or "" for c in choices)
-    reason = next((c.finish_reason for c in reversed(choices) if c.finish_reason), "stop")
+    finish_reason = next((c.finish_reason for c in reversed(choices) if c.finish_reason), "stop")
     if is_chat:
-        choice = AssembledChoice(reason, 0, AssembledMessage(text))
+        choice = AssembledChoice(finish_reason, 0, AssembledMessage(text))
     else:
-        choice = AssembledChoice(reason, 0, text=text)
-    name = "chat.completion" if is_chat else "text_completion"
+        choice = AssembledChoice(finish_reason, 0, text=text)
+    object_type = "chat.completion" if is_chat else "text_completion"
     first = chunks[0]
-    body = AssembledBody(first.id, name, first.created, first.model, [choice], usage or Usage())
+    body = AssembledBody(
+        first.id, object_type, first.created, first.model, [choice], usage or Usage()
+    )
     return msgspec.json.encode(body)
--- a/troutstand/daemon/requests.py
+++ b/troutstand/daemon/requests.py
@@ -1,4 +1,4 @@
-"""Read callers' requests and check them against the table."""
+"""Parse callers' requests and validate them against the table."""
 
 from __future__ import annotations
 
@@ -34,14 +34,14 @@
 
 
 class ChatMessage(msgspec.Struct):
-    """Carry one message of a chat."""
+    """Hold one message of a chat."""
 
     role: str
     content: str | list[Any] | None = None
 
 
 class ChatBody(msgspec.Struct):
-    """Carry what the scheduler reads of a chat completion."""
+    """Hold the fields of a chat completion that the scheduler reads."""
 
     model: str
     messages: Annotated[list[ChatMessage], msgspec.Meta(min_length=1)]
@@ -51,7 +51,7 @@
 
 
 class CompletionBody(msgspec.Struct):
-    """Carry what the scheduler reads of a text completion."""
+    """Hold the fields of a text completion that the scheduler reads."""
 
     model: str
     prompt: str | list[Any]
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True)
 class Caller:
-    """Tell whose request it is and at which tier it runs."""
+    """Identify the workspace that sends a request and the tier at which it runs."""
 
     workspace: Workspace
     tier: Tier
@@ -69,7 +69,7 @@
 
 @dataclass(frozen=True)
 class EngineRequest:
-    """Carry a checked request for a model."""
+    """Hold a validated request for a model."""
 
     key: str
     is_key_generated: bool
@@ -87,18 +87,18 @@
 
     @property
     def workspace_key(self) -> str:
-        """Return the key that names the request within its workspace."""
+        """Return the idempotency key qualified by the workspace."""
         return f"{self.caller.workspace.name}/{self.key}"
 
     @property
     def fingerprint(self) -> str:
-        """Return what is the same for all requests of the workspace with one path and body."""
+        """Return a hash that requests of the workspace share if path and body are equal."""
         return compute_fingerprint(self.caller.workspace.name, "POST", "", self.path, self.body)
 
 
 @dataclass
 class TableIndex:
-    """Index the table for the checks that every request needs."""
+    """Index the rows of the table that requests are validated against."""
 
     workspaces: dict[str, Workspace] = field(default_factory=dict)
     tiers: dict[str, Tier] = field(default_factory=dict)
@@ -107,7 +107,7 @@
     targets: dict[str, Target] = field(default_factory=dict)
 
     def update(self, table: Table) -> None:
-        """Take a newer table."""
+        """Index the rows of a newer table."""
         self.workspaces = {r.token_sha256: r for r in table.select(Workspace).values()}
         self.tiers = table.select(Tier)
         self.models = table.select(Model)
@@ -115,7 +115,7 @@
         self.targets = table.select(Target)
 
     def authorize_caller(self, request: web.Request) -> Caller:
-        """Find the caller's workspace and tier.
+        """Return the caller's workspace and tier.
 
         Raises
         ------
@@ -127,25 +127,26 @@
         workspace = self.workspaces.get(digest)
         if workspace is None or not header.startswith(_BEARER):
             raise TroutstandError(ResultCode.TOKEN_UNKNOWN)
-        own = self.tiers[workspace.tier]
-        asked = request.headers.get(TIER_HEADER)
-        if asked is None:
-            return Caller(workspace, own)
-        tier = self.tiers.get(asked)
+        own_tier = self.tiers[workspace.tier]
+        requested = request.headers.get(TIER_HEADER)
+        if requested is None:
+            return Caller(workspace, own_tier)
+        tier = self.tiers.get(requested)
         if tier is None:
             accepted = ", ".join(sorted(self.tiers))
             raise TroutstandError(
-                ResultCode.FIELD_INVALID, f"tier {asked[:64]!r}; accepted are {accepted}"
+                ResultCode.FIELD_INVALID, f"tier {requested[:64]!r}; accepted are {accepted}"
             )
-        if tier.rank < own.rank:
+        if tier.rank < own_tier.rank:
             raise TroutstandError(
-                ResultCode.TIER_FORBIDDEN, f"tier {asked} is above the workspace's {own.name}"
+                ResultCode.TIER_FORBIDDEN,
+                f"tier {requested} is above the workspace's {own_tier.name}",
             )
         return Caller(workspace, tier)
 
 
 def get_idempotency_key(request: web.Request) -> tuple[str, bool]:
-    """Return the request's key and whether it was made here.
+    """Return the request's idempotency key and whether it was generated here.
 
     Raises
     ------
@@ -163,10 +164,10 @@
 
 
 def parse_attempt(request: web.Request) -> int:
-    """Return which attempt at its key the caller numbers this sending as, from 1.
+    """Return the attempt number that the caller sends with its key, 1 by default.
 
-    A caller never lowers the number; the retry counts of client libraries,
-    which begin anew with each call, are therefore no substitute.
+    A caller must never lower the number. Retry counts of client libraries are unsuitable,
+    because they restart with each call.
 
     Raises
     ------
@@ -187,11 +188,11 @@
     Raises
     ------
     TroutstandError
-        BODY_TOO_LARGE, or BODY_MALFORMED where it does not come whole in time.
+        BODY_TOO_LARGE, or BODY_MALFORMED if it is not complete in time.
     """
     length = request.content_length
     if length is not None and length > limits.body_bytes:
-        detail = f"{length} bytes; {limits.body_bytes} are accepted"
+        detail = f"{length} bytes; at most {limits.body_bytes} are accepted"
         raise TroutstandError(ResultCode.BODY_TOO_LARGE, detail)
     body = bytearray()
     try:
@@ -199,21 +200,21 @@
             async for chunk in request.content.iter_any():
                 body.extend(chunk)
                 if len(body) > limits.body_bytes:
-                    detail = f"{limits.body_bytes} bytes are accepted"
+                    detail = f"at most {limits.body_bytes} bytes are accepted"
                     raise TroutstandError(ResultCode.BODY_TOO_LARGE, detail)
     except TimeoutError as error:
-        detail = f"{len(body)} of {length} bytes came in {limits.body_s} s"
+        detail = f"{len(body)} of {length} bytes were received in {limits.body_s} s"
         raise TroutstandError(ResultCode.BODY_MALFORMED, detail) from error
     return bytes(body)
 
 
-def _decode_body(body: bytes, kind: type[T]) -> tuple[dict[str, Any], T]:
+def _decode_body(body: bytes, body_type: type[T]) -> tuple[dict[str, Any], T]:
     try:
-        plain = msgspec.json.decode(body)
+        payload = msgspec.json.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
         raise TroutstandError(ResultCode.BODY_MALFORMED, str(error)) from error
     try:
-        return plain, msgspec.convert(plain, kind)
+        return payload, msgspec.convert(payload, body_type)
     except msgspec.ValidationError as error:
         raise TroutstandError(ResultCode.FIELD_INVALID, str(error)) from error
 
@@ -228,20 +229,21 @@
     return "\n".join(f"{m.role}: {_join_content(m.content)}" for m in messages)
 
 
-def _check_answer_tokens(asked: int | None, model: Model) -> int:
-    if asked is None:
+def _check_answer_tokens(requested: int | None, model: Model) -> int:
+    if requested is None:
         return DEFAULT_ANSWER_TOKENS
-    if not 0 < asked <= model.context_tokens:
+    if not 0 < requested <= model.context_tokens:
         raise TroutstandError(
-            ResultCode.FIELD_INVALID, f"max_tokens {asked}; 1 to {model.context_tokens} accepted"
+            ResultCode.FIELD_INVALID,
+            f"max_tokens {requested}; 1 to {model.context_tokens} are accepted",
         )
-    return asked
+    return requested
 
 
 def parse_engine_request(
     request: web.Request, body: bytes, caller: Caller, table_index: TableIndex
 ) -> EngineRequest:
-    """Check a request for a model.
+    """Parse and validate a request for a model.
 
     Raises
     ------
@@ -251,35 +253,38 @@
     key, is_key_generated = get_idempotency_key(request)
     is_chat = request.path.endswith("/chat/completions")
     if is_chat:
-        plain, chat = _decode_body(body, ChatBody)
-        text, name, stream = _join_messages(chat.messages), chat.model, chat.stream
-        asked = chat.max_completion_tokens or chat.max_tokens
+        payload, chat = _decode_body(body, ChatBody)
+        text, model_name, stream = _join_messages(chat.messages), chat.model, chat.stream
+        requested_tokens = chat.max_completion_tokens or chat.max_tokens
     else:
-        plain, completion = _decode_body(body, CompletionBody)
-        text, name, stream = _join_content(completion.prompt), completion.model, completion.stream
-        asked = completion.max_tokens
-    model = table_index.models.get(name)
+        payload, completion = _decode_body(body, CompletionBody)
+        text, model_name, stream = (
+            _join_content(completion.prompt),
+            completion.model,
+            completion.stream,
+        )
+        requested_tokens = completion.max_tokens
+    model = table_index.models.get(model_name)
     if model is None:
-        raise TroutstandError(ResultCode.MODEL_UNKNOWN, f"model {name[:64]!r}")
-    answer_tokens = _check_answer_tokens(asked, model)
-    options = plain.get("stream_options")
+        raise TroutstandError(ResultCode.MODEL_UNKNOWN, f"model {model_name[:64]!r}")
+    answer_tokens = _check_answer_tokens(requested_tokens, model)
+    options = payload.get("stream_options")
     include_usage = isinstance(options, dict) and bool(options.get("include_usage"))
-    # Every call is streamed from the engine, so that a broken answer is seen
-    # at once and can be resumed.
-    plain["stream"] = True
-    plain["stream_options"] = {"include_usage": True}
+    # The engine always streams, so that an interrupted answer is detected at once and resumed.
+    payload["stream"] = True
+    payload["stream_options"] = {"include_usage": True}
     return EngineRequest(
         key=key,
         is_key_generated=is_key_generated,
         request=secrets.token_hex(_KEY_BYTES),
         caller=caller,
         path=request.path,
-        model=name,
-        body=msgspec.json.encode(plain),
+        model=model_name,
+        body=msgspec.json.encode(payload),
         is_chat=is_chat,
         stream=stream,
         include_usage=include_usage,
         prompt_tokens=count_tokens(text),
         answer_tokens=answer_tokens,
-        prefixes=hash_prefixes(name, text),
+        prefixes=hash_prefixes(model_name, text),
     )
