--- a/benchmarks/model.py
+++ b/benchmarks/model.py
@@ -1,4 +1,4 @@
-"""Search every model to its end, the larger ones too."""
+"""Check every model exhaustively, including those too large for CI."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
     """Report the states of each model and return an exit code."""
     failed = 0
     for name, spec in {**list_models(), **list_large_models()}.items():
-        verdict = check_model(spec)
-        failed += not verdict.holds
-        report("model", name, verdict.states, "states", holds=str(verdict.holds))
+        result = check_model(spec)
+        failed += not result.holds
+        report("model", name, result.state_count, "states", holds=str(result.holds))
     for name, spec in {**list_broken_models(), **list_large_broken_models()}.items():
-        verdict = check_model(spec)
-        failed += verdict.holds
-        steps = min((len(trace) for trace in verdict.violations.values()), default=0)
-        report("model", name, steps, "steps to the failure", holds=str(verdict.holds))
+        result = check_model(spec)
+        failed += result.holds
+        steps = min((len(trace) for trace in result.violations.values()), default=0)
+        report("model", name, steps, "steps to the failure", holds=str(result.holds))
     return 1 if failed else 0
 
 
--- a/troutstand/testing/models/__init__.py
+++ b/troutstand/testing/models/__init__.py
@@ -1,1 +1,1 @@
-"""Check the daemon's own state machines by exhaustive search."""
+"""Check the daemon's state machines by exhaustive state-space search."""
--- a/troutstand/testing/models/check.py
+++ b/troutstand/testing/models/check.py
@@ -1,4 +1,4 @@
-"""Run a model and tell whether its search was exhaustive."""
+"""Search the state space of a model and report violated properties."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True)
 class Step(Generic[S]):
-    """Lead from one state of a model to another."""
+    """Label a transition and hold the state that it leads to."""
 
     label: str
     state: S
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True)
 class ModelSpec(Generic[S]):
-    """Describe a model: where it starts, its steps, and what must always hold."""
+    """Describe a model by its initial state, transitions and safety properties."""
 
     name: str
     initial: S
@@ -32,16 +32,16 @@
 
 
 @dataclass(frozen=True)
-class Verdict:
-    """Tell what an exhaustive search found."""
+class CheckResult:
+    """Hold the reachable state count and a counterexample for each violated property."""
 
     name: str
-    states: int
+    state_count: int
     violations: dict[str, list[str]]
 
     @property
     def holds(self) -> bool:
-        """Tell whether every property holds in every state."""
+        """Return whether every property holds in every reachable state."""
         return not self.violations
 
 
@@ -56,13 +56,13 @@
     return lambda fields: holds(fields["world"])
 
 
-def check_model(spec: ModelSpec[Any], max_states: int = MAX_STATES) -> Verdict:
-    """Search every reachable state of a model.
+def check_model(spec: ModelSpec[Any], max_states: int = MAX_STATES) -> CheckResult:
+    """Check the properties of a model in every reachable state.
 
     Raises
     ------
     RuntimeError
-        Where there are more states than `max_states`: nothing is shown then.
+        If the model has more than `max_states` reachable states.
     """
     protocol = Protocol(
         name=spec.name,
@@ -80,4 +80,4 @@
     }
     if not result["exhaustive"]:
         raise RuntimeError(f"{spec.name}: the search was not exhaustive")
-    return Verdict(spec.name, result["reachable_states"], violations)
+    return CheckResult(spec.name, result["reachable_states"], violations)
--- a/troutstand/testing/models/command.py
+++ b/troutstand/testing/models/command.py
@@ -1,8 +1,7 @@
-"""Model one command: its caller's resends, crashes, cuts, freezes and late messages.
+"""Model one command with resubmissions, crashes, lost connections and delayed messages.
 
-Registers are write-once here, as `register` shows them to be. A freeze is no
-step of its own: any process may stand still between any two of its steps, the
-last check before a send and the send itself included.
+Registers are write-once, which `register` checks. A process may pause between
+any two of its steps, so a pause needs no step of its own.
 """
 
 from __future__ import annotations
@@ -44,40 +43,40 @@
 
 
 @dataclass(frozen=True)
-class Sending:
-    """Keep one sending of the command at the entry process that took it."""
+class Submission:
+    """Hold the state of one submission of the command at an entry process."""
 
     number: int
     process: str
     attempt: int = 1
     state: CommandState = CommandState.CLAIMING
-    sent: bool = False
+    is_dispatched: bool = False
     outcome: Outcome | None = None
     action: Action | None = None
-    is_flying: bool = False
-    alive: bool = True
+    is_in_flight: bool = False
+    is_alive: bool = True
 
 
 @dataclass(frozen=True)
 class World:
-    """Hold the registers, the sendings and what ran."""
+    """Hold the registers, the submissions, the run count and the reported results."""
 
     registers: Registers = ()
-    ghosts: frozenset[tuple[str, Claim | Outcome]] = frozenset()
-    sendings: tuple[Sending, ...] = ()
+    delayed_writes: frozenset[tuple[str, Claim | Outcome]] = frozenset()
+    submissions: tuple[Submission, ...] = ()
     runs: int = 0
-    told_not_run: bool = False
-    told_done: bool = False
+    reported_not_run: bool = False
+    reported_done: bool = False
 
 
 @dataclass(frozen=True)
 class CommandModel:
-    """Choose how often the caller sends, and which guard is taken out.
+    """Configure the submissions, the processes and the command implementation.
 
     Parameters
     ----------
     attempts
-        The attempt that the caller numbers each of its sendings with.
+        The attempt number that the caller gives each submission.
     """
 
     attempts: tuple[int, ...] = (1, 2, 3)
@@ -93,176 +92,187 @@
             self._list_steps,
             {
                 "runs at most once": lambda world: world.runs <= 1,
-                "'not run' is true": lambda world: not (world.told_not_run and world.runs > 0),
-                "'done' is true": lambda world: not (world.told_done and world.runs == 0),
+                "'not run' is true": lambda world: not (world.reported_not_run and world.runs > 0),
+                "'done' is true": lambda world: not (world.reported_done and world.runs == 0),
             },
         )
 
     def _list_steps(self, world: World) -> list[Step[World]]:
         steps: list[Step[World]] = []
-        if len(world.sendings) < len(self.attempts):
-            steps.append(self._send(world))
-        for ghost in world.ghosts:
-            steps.append(_write_ghost(world, ghost))
-        for sending in world.sendings:
-            if sending.is_flying:
-                steps += self._run(world, sending)
-            if sending.alive and sending.state is not CommandState.ENDED:
-                steps += self._advance(world, sending)
+        if len(world.submissions) < len(self.attempts):
+            steps.append(self._submit(world))
+        for write in world.delayed_writes:
+            steps.append(_apply_delayed_write(world, write))
+        for submission in world.submissions:
+            if submission.is_in_flight:
+                steps += self._run(world, submission)
+            if submission.is_alive and submission.state is not CommandState.ENDED:
+                steps += self._advance(world, submission)
         if self.crashes:
-            names = {s.process for s in world.sendings if s.alive}
+            names = {s.process for s in world.submissions if s.is_alive}
             steps += [_crash(world, name) for name in sorted(names)]
         return steps
 
-    def _send(self, world: World) -> Step[World]:
-        """Let the caller send, having given up on every earlier sending."""
-        number = len(world.sendings)
-        sending = Sending(number, f"p{number % self.processes}")
-        command = self._load(sending)
-        sending = _store(sending, command, command.start())
-        sendings = (*world.sendings, sending)
-        return Step(f"send {number}", replace(world, sendings=sendings, told_not_run=False))
+    def _submit(self, world: World) -> Step[World]:
+        """Submit the command again after abandoning all earlier submissions."""
+        number = len(world.submissions)
+        submission = Submission(number, f"p{number % self.processes}")
+        command = self._load(submission)
+        submission = _store(submission, command, command.start())
+        submissions = (*world.submissions, submission)
+        return Step(
+            f"submit {number}", replace(world, submissions=submissions, reported_not_run=False)
+        )
 
-    def _load(self, sending: Sending) -> Command:
+    def _load(self, submission: Submission) -> Command:
         command = self.command_class(
             _KEY,
-            ProcessId(sending.process),
-            Incarnation(str(sending.number)),
-            str(sending.number),
+            ProcessId(submission.process),
+            Incarnation(str(submission.number)),
+            str(submission.number),
             "digest",
             is_key_generated=False,
-            last_attempt=self.attempts[sending.number],
+            last_attempt=self.attempts[submission.number],
         )
-        command.attempt, command.state = sending.attempt, sending.state
-        command.is_dispatched, command._outcome = sending.sent, sending.outcome
+        command.attempt, command.state = submission.attempt, submission.state
+        command.is_dispatched, command._outcome = submission.is_dispatched, submission.outcome
         return copy.copy(command)
 
-    def _advance(self, world: World, sending: Sending) -> list[Step[World]]:
-        match sending.action:
+    def _advance(self, world: World, submission: Submission) -> list[Step[World]]:
+        match submission.action:
             case ProposeClaim(register, claim):
-                return self._propose(world, sending, register, claim)
+                return self._propose(world, submission, register, claim)
             case ReadClaim(register):
-                return self._read(world, sending, register)
+                return self._read(world, submission, register)
             case ProposeOutcome(register, outcome, _):
-                return self._propose(world, sending, register, outcome)
+                return self._propose(world, submission, register, outcome)
             case AskOwner(_, register, nonce):
-                return self._ask_owner(world, sending, register, nonce)
-            case Dispatch() if not sending.is_flying:
-                return self._dispatch(world, sending)
+                return self._ask_owner(world, submission, register, nonce)
+            case Dispatch() if not submission.is_in_flight:
+                return self._dispatch(world, submission)
             case _:
                 return []
 
     def _propose(
-        self, world: World, sending: Sending, register: str, value: Claim | Outcome
+        self, world: World, submission: Submission, register: str, value: Claim | Outcome
     ) -> list[Step[World]]:
         registers = dict(world.registers)
         decided = registers.setdefault(register, value)
-        written = replace(world, registers=tuple(sorted(registers.items(), key=lambda i: i[0])))
+        after_write = replace(world, registers=tuple(sorted(registers.items(), key=lambda i: i[0])))
         event = ClaimDecided(decided) if isinstance(decided, Claim) else OutcomeDecided(decided)
-        steps = [self._take(written, sending, event, f"{register} decided")]
-        late = replace(world, ghosts=world.ghosts | {(register, value)})
+        steps = [self._deliver(after_write, submission, event, f"{register} decided")]
+        late = replace(world, delayed_writes=world.delayed_writes | {(register, value)})
         unreachable = RegisterUnreachable()
-        steps.append(self._take(world, sending, unreachable, f"{register} unreachable"))
-        steps.append(self._take(late, sending, unreachable, f"{register} unreachable, accept late"))
+        steps.append(self._deliver(world, submission, unreachable, f"{register} unreachable"))
+        steps.append(
+            self._deliver(late, submission, unreachable, f"{register} unreachable, accept late")
+        )
         return steps
 
-    def _read(self, world: World, sending: Sending, register: str) -> list[Step[World]]:
+    def _read(self, world: World, submission: Submission, register: str) -> list[Step[World]]:
         claim = dict(world.registers).get(register)
         event = ClaimDecided(claim) if isinstance(claim, Claim) else ClaimBlank()
         return [
-            self._take(world, sending, event, f"{register} read"),
-            self._take(world, sending, RegisterUnreachable(), f"{register} unreachable"),
+            self._deliver(world, submission, event, f"{register} read"),
+            self._deliver(world, submission, RegisterUnreachable(), f"{register} unreachable"),
         ]
 
     def _ask_owner(
-        self, world: World, sending: Sending, register: str, nonce: str
+        self, world: World, submission: Submission, register: str, nonce: str
     ) -> list[Step[World]]:
-        steps = [self._take(world, sending, OwnerGone(), "owner silent")]
-        owner = world.sendings[int(nonce)]
-        if not owner.alive or not register.endswith(f"/{owner.attempt}"):
+        steps = [self._deliver(world, submission, OwnerGone(), "owner does not respond")]
+        owner = world.submissions[int(nonce)]
+        if not owner.is_alive or not register.endswith(f"/{owner.attempt}"):
             return steps
-        answered = OwnerAnswered(_tell_outcome(owner))
-        return [*steps, self._take(world, sending, answered, "owner answers")]
+        response = OwnerAnswered(_get_owner_reply(owner))
+        return [*steps, self._deliver(world, submission, response, "owner responds")]
 
-    def _dispatch(self, world: World, sending: Sending) -> list[Step[World]]:
-        flying = replace(sending, is_flying=True)
-        sent = Step(f"{sending.number} sends to the target", _put(world, flying))
+    def _dispatch(self, world: World, submission: Submission) -> list[Step[World]]:
+        in_flight = replace(submission, is_in_flight=True)
+        dispatched = Step(
+            f"{submission.number} sends to the target", _replace_submission(world, in_flight)
+        )
         ended = DispatchEnded(_NOT_RUN)
-        return [sent, self._take(world, sending, ended, "target unreachable")]
-
-    def _run(self, world: World, sending: Sending) -> list[Step[World]]:
-        """Let the target run a call, whether or not its sender still lives."""
-        landed = replace(sending, is_flying=False)
-        ran = replace(_put(world, landed), runs=world.runs + 1)
-        if not sending.alive:
-            return [Step(f"target runs {sending.number}", ran)]
+        return [dispatched, self._deliver(world, submission, ended, "target unreachable")]
+
+    def _run(self, world: World, submission: Submission) -> list[Step[World]]:
+        """Run the request at the target, even if its sender has crashed."""
+        delivered = replace(submission, is_in_flight=False)
+        ran = replace(_replace_submission(world, delivered), runs=world.runs + 1)
+        if not submission.is_alive:
+            return [Step(f"target runs {submission.number}", ran)]
         return [
-            self._take(ran, landed, DispatchEnded(_DONE), "target runs and answers"),
-            self._take(ran, landed, DispatchEnded(UNKNOWN_OUTCOME), "target runs, answer lost"),
+            self._deliver(ran, delivered, DispatchEnded(_DONE), "target runs and responds"),
+            self._deliver(
+                ran, delivered, DispatchEnded(UNKNOWN_OUTCOME), "target runs, response lost"
+            ),
         ]
 
-    def _take(self, world: World, sending: Sending, event: Event, label: str) -> Step[World]:
-        command = self._load(sending)
+    def _deliver(
+        self, world: World, submission: Submission, event: Event, label: str
+    ) -> Step[World]:
+        command = self._load(submission)
         action = command.receive(event)
-        after = _put(world, _store(sending, command, action))
-        is_heard = sending.number == len(world.sendings) - 1
-        if is_heard and isinstance(action, Refuse) and action.run is Run.NO:
-            after = replace(after, told_not_run=True)
+        after = _replace_submission(world, _store(submission, command, action))
+        is_latest = submission.number == len(world.submissions) - 1
+        if is_latest and isinstance(action, Refuse) and action.run is Run.NO:
+            after = replace(after, reported_not_run=True)
         if isinstance(action, Answer):
-            after = replace(after, told_done=True)
-        return Step(f"{sending.number}: {label}", after)
+            after = replace(after, reported_done=True)
+        return Step(f"{submission.number}: {label}", after)
 
 
-def _store(sending: Sending, command: Command, action: Action | None) -> Sending:
+def _store(submission: Submission, command: Command, action: Action | None) -> Submission:
     return replace(
-        sending,
+        submission,
         attempt=command.attempt,
         state=command.state,
-        sent=command.is_dispatched,
+        is_dispatched=command.is_dispatched,
         outcome=command._outcome,
         action=action,
     )
 
 
-def _put(world: World, sending: Sending) -> World:
-    index = sending.number
-    sendings = (*world.sendings[:index], sending, *world.sendings[index + 1 :])
-    return replace(world, sendings=sendings)
+def _replace_submission(world: World, submission: Submission) -> World:
+    index = submission.number
+    submissions = (*world.submissions[:index], submission, *world.submissions[index + 1 :])
+    return replace(world, submissions=submissions)
 
 
-def _tell_outcome(owner: Sending) -> Outcome | None:
-    """Tell what the owner's process answers about its attempt."""
+def _get_owner_reply(owner: Submission) -> Outcome | None:
+    """Return the outcome that the owner reports for its attempt, if known."""
     if owner.outcome is not None:
         return owner.outcome
-    if owner.state is CommandState.ENDED and not owner.sent:
+    if owner.state is CommandState.ENDED and not owner.is_dispatched:
         return make_not_run_outcome(ResultCode.COMMAND_NOT_RUN)
     return None
 
 
-def _write_ghost(world: World, ghost: tuple[str, Claim | Outcome]) -> Step[World]:
+def _apply_delayed_write(world: World, write: tuple[str, Claim | Outcome]) -> Step[World]:
     registers = dict(world.registers)
-    registers.setdefault(*ghost)
+    registers.setdefault(*write)
     ordered = tuple(sorted(registers.items(), key=lambda item: item[0]))
-    after = replace(world, registers=ordered, ghosts=world.ghosts - {ghost})
-    return Step(f"late accept of {ghost[0]}", after)
+    after = replace(world, registers=ordered, delayed_writes=world.delayed_writes - {write})
+    return Step(f"late accept of {write[0]}", after)
 
 
 def _crash(world: World, process: str) -> Step[World]:
-    sendings = tuple(
-        replace(s, alive=False, action=None) if s.process == process else s for s in world.sendings
+    submissions = tuple(
+        replace(s, is_alive=False, action=None) if s.process == process else s
+        for s in world.submissions
     )
-    return Step(f"{process} crashes", replace(world, sendings=sendings))
+    return Step(f"{process} crashes", replace(world, submissions=submissions))
 
 
 class CloseAsNotRun(Command):
-    """Say "not run" for an owner that is silent: the guard taken out."""
+    """Report "not run" for an owner that does not respond (deliberately faulty)."""
 
     def _close_attempt(self, outcome: Outcome) -> Action:
         return super()._close_attempt(make_not_run_outcome(ResultCode.COMMAND_NOT_RUN))
 
 
 class DispatchUnclaimed(Command):
-    """Dispatch where no majority could be reached: the guard taken out."""
+    """Dispatch without a claim when no quorum is reachable (deliberately faulty)."""
 
     def _abandon_claim(self) -> Action:
         self.state = CommandState.DISPATCHING
@@ -270,15 +280,15 @@
         return Dispatch(self.attempt)
 
 
-class TakeOver(Command):
-    """Go on to the next attempt although the owner is only silent: the guard taken out."""
+class SkipSilentOwner(Command):
+    """Move to the next attempt if the owner does not respond (deliberately faulty)."""
 
     def _close_attempt(self, outcome: Outcome) -> Action:
         return self._handle_outcome(make_not_run_outcome(ResultCode.COMMAND_NOT_RUN))
 
 
-class OpenNextAttempt(Command):
-    """Open the next attempt unasked once one is closed as not run: the guard taken out."""
+class OpenUnrequestedAttempt(Command):
+    """Open an unrequested attempt after one closes as not run (deliberately faulty)."""
 
     def _handle_outcome(self, outcome: Outcome) -> Action:
         if outcome.kind is OutcomeKind.not_run:
--- a/troutstand/testing/models/register.py
+++ b/troutstand/testing/models/register.py
@@ -1,8 +1,7 @@
-"""Model one register: rival proposers, and keepers that crash or lose a disk.
+"""Model one register with concurrent proposers and keepers that crash or lose a disk.
 
-A message stays in the network once sent, so that it may be handled late, out
-of order, twice or never. A reply is taken at once or lost: taking it later
-differs from that only in steps that the network can delay anyway.
+A sent message stays in the network and may be delivered late, out of order,
+repeatedly or never. A reply is delivered at once or lost.
 """
 
 from __future__ import annotations
@@ -31,47 +30,47 @@
 
 
 @dataclass(frozen=True)
-class Bid:
-    """Keep one proposer's ballot between steps."""
+class ProposerState:
+    """Hold the state of one proposer between steps."""
 
     value: bytes
     ballot: Ballot
     promises: frozenset[tuple[ProcessId, Promise]] = frozenset()
     accepted: frozenset[ProcessId] = frozenset()
-    accepting: bytes | None = None
-    started: bool = False
+    proposed: bytes | None = None
+    is_started: bool = False
 
 
 @dataclass(frozen=True)
 class World:
-    """Hold the keepers' durable states, the ballots and the network."""
+    """Hold the durable state of the keepers, the proposers and the network."""
 
     keepers: tuple[RegisterState, ...]
-    bids: tuple[Bid, ...]
+    proposers: tuple[ProposerState, ...]
     network: frozenset[Prepare | Accept]
     decided: frozenset[bytes] = frozenset()
-    lost_disks: int = 0
+    lost_disk_count: int = 0
 
 
 @dataclass(frozen=True)
 class RegisterModel:
-    """Choose the rivals, and which guards are taken out.
+    """Configure the proposers, the lost disks and the message handlers.
 
     Parameters
     ----------
-    lost_disks
-        How many keepers may come back empty and vote as if they remembered.
+    lost_disk_count
+        Number of keepers that may lose their state and keep voting.
     """
 
-    bids: tuple[Bid, ...]
-    lost_disks: int = 0
+    proposers: tuple[ProposerState, ...]
+    lost_disk_count: int = 0
     handle_prepare: HandlePrepare = handle_prepare
     handle_accept: HandleAccept = handle_accept
 
     def make_spec(self) -> ModelSpec[World]:
         """Make the specification to check."""
-        blank = RegisterState(REGISTER)
-        initial = World((blank,) * len(_KEEPERS), self.bids, frozenset())
+        empty = RegisterState(REGISTER)
+        initial = World((empty,) * len(_KEEPERS), self.proposers, frozenset())
         return ModelSpec(
             "register",
             initial,
@@ -80,74 +79,76 @@
         )
 
     def _list_steps(self, world: World) -> list[Step[World]]:
-        steps = [self._start(world, i) for i, bid in enumerate(world.bids) if not bid.started]
+        steps = [
+            self._start(world, i) for i, state in enumerate(world.proposers) if not state.is_started
+        ]
         for message in world.network:
             for number in range(len(_KEEPERS)):
-                steps += self._handle(world, message, number)
-        if world.lost_disks < self.lost_disks:
-            steps += [self._lose_disk(world, number) for number in range(len(_KEEPERS))]
+                steps += self._deliver(world, message, number)
+        if world.lost_disk_count < self.lost_disk_count:
+            steps += [self._reset_disk(world, number) for number in range(len(_KEEPERS))]
         return steps
 
     def _start(self, world: World, index: int) -> Step[World]:
-        bid = replace(world.bids[index], started=True)
-        proposer = _make_proposer(bid)
+        state = replace(world.proposers[index], is_started=True)
+        proposer = _restore_proposer(state)
         step = proposer.start()
         assert isinstance(step, Broadcast)
-        return Step(f"start {bid.ballot.proposer}", _update(world, index, proposer, step))
+        return Step(f"start {state.ballot.proposer}", _update(world, index, proposer, step))
 
-    def _handle(self, world: World, message: Prepare | Accept, number: int) -> list[Step[World]]:
-        state = world.keepers[number]
+    def _deliver(self, world: World, message: Prepare | Accept, number: int) -> list[Step[World]]:
+        keeper = world.keepers[number]
         match message:
             case Prepare():
-                changed, reply = self.handle_prepare(state, message)
+                changed, reply = self.handle_prepare(keeper, message)
             case Accept():
-                changed, reply = self.handle_accept(state, message)
+                changed, reply = self.handle_accept(keeper, message)
         keepers = (*world.keepers[:number], changed, *world.keepers[number + 1 :])
-        handled = replace(world, keepers=keepers)
+        after_request = replace(world, keepers=keepers)
         kind = type(message).__name__.lower()
-        label = f"k{number} takes {kind} of {message.ballot.proposer}"
-        steps = [Step(f"{label}, reply lost", handled)]
-        index = next(i for i, bid in enumerate(world.bids) if bid.ballot == message.ballot)
-        proposer = _make_proposer(world.bids[index])
+        label = f"k{number} handles {kind} of {message.ballot.proposer}"
+        steps = [Step(f"{label}, reply lost", after_request)]
+        index = next(i for i, state in enumerate(world.proposers) if state.ballot == message.ballot)
+        proposer = _restore_proposer(world.proposers[index])
         step = proposer.receive(_KEEPERS[number], reply)
-        steps.append(Step(label, _update(handled, index, proposer, step)))
+        steps.append(Step(label, _update(after_request, index, proposer, step)))
         return steps
 
-    def _lose_disk(self, world: World, number: int) -> Step[World]:
-        blank = RegisterState(REGISTER)
-        keepers = (*world.keepers[:number], blank, *world.keepers[number + 1 :])
-        lost = replace(world, keepers=keepers, lost_disks=world.lost_disks + 1)
+    def _reset_disk(self, world: World, number: int) -> Step[World]:
+        empty = RegisterState(REGISTER)
+        keepers = (*world.keepers[:number], empty, *world.keepers[number + 1 :])
+        lost = replace(world, keepers=keepers, lost_disk_count=world.lost_disk_count + 1)
         return Step(f"k{number} loses its disk and votes", lost)
 
 
-def _make_proposer(bid: Bid) -> Proposer:
+def _restore_proposer(state: ProposerState) -> Proposer:
     return Proposer(
         REGISTER,
-        bid.value,
-        bid.ballot,
+        state.value,
+        state.ballot,
         _EPOCH,
         frozenset(_KEEPERS),
-        dict(bid.promises),
-        set(bid.accepted),
-        bid.accepting,
+        dict(state.promises),
+        set(state.accepted),
+        state.proposed,
     )
 
 
-def freeze_bid(bid: Bid, proposer: Proposer) -> Bid:
-    """Keep a proposer's state as a bid."""
+def capture_proposer(state: ProposerState, proposer: Proposer) -> ProposerState:
+    """Return the state of a proposer for the next step."""
     return replace(
-        bid,
-        started=True,
+        state,
+        is_started=True,
         promises=frozenset(proposer._promises.items()),
         accepted=frozenset(proposer._accepted),
-        accepting=proposer._proposed,
+        proposed=proposer._proposed,
     )
 
 
 def _update(world: World, index: int, proposer: Proposer, step: object) -> World:
-    bid = freeze_bid(world.bids[index], proposer)
-    bids = (*world.bids[:index], bid, *world.bids[index + 1 :])
-    world = replace(world, bids=bids)
+    state = capture_proposer(world.proposers[index], proposer)
+    proposers = (*world.proposers[:index], state, *world.proposers[index + 1 :])
+    world = replace(world, proposers=proposers)
     match step:
         case Broadcast(message):
             return replace(world, network=world.network.union([message]))
@@ -157,18 +158,20 @@
             return world
 
 
-def make_bid(name: str, round_: int) -> Bid:
-    """Make a ballot whose value is its proposer's name."""
-    return Bid(name.encode(), Ballot(round_, name))
+def make_proposer(name: str, round_: int) -> ProposerState:
+    """Make a proposer whose value is its name."""
+    return ProposerState(name.encode(), Ballot(round_, name))
 
 
-def accept_always(state: RegisterState, message: Accept) -> tuple[RegisterState, Accepted]:
-    """Accept without regard to promises: the guard taken out."""
+def accept_without_promise(state: RegisterState, message: Accept) -> tuple[RegisterState, Accepted]:
+    """Accept without checking the promised ballot (deliberately faulty)."""
     unpromised = RegisterState(state.register, None, state.accepted, state.value)
     return handle_accept(unpromised, message)
 
 
-def forget_accepted(state: RegisterState, message: Prepare) -> tuple[RegisterState, Promise]:
-    """Promise without telling what was accepted: the guard taken out."""
+def promise_without_accepted(
+    state: RegisterState, message: Prepare
+) -> tuple[RegisterState, Promise]:
+    """Promise without returning the accepted value (deliberately faulty)."""
     changed, reply = handle_prepare(state, message)
     return changed, Promise(reply.register, reply.ballot, reply.granted, reply.promised)
--- a/troutstand/testing/models/replacement.py
+++ b/troutstand/testing/models/replacement.py
@@ -1,7 +1,7 @@
-"""Model the replacement of a keeper that lost its disk, and a second loss right after.
+"""Model the replacement of a keeper that lost its disk, followed by a second disk loss.
 
-The keeper sets are decided in order here, as `register` shows registers to be;
-each keeper learns them when it likes. Proposers may use any set decided so far.
+Keeper sets are decided in order, which `register` checks, and each keeper
+installs them at any later time. Proposers may use any set decided so far.
 """
 
 from __future__ import annotations
@@ -17,45 +17,45 @@
     RegisterState,
 )
 from troutstand.testing.models.check import ModelSpec, Step
-from troutstand.testing.models.disks import Disk, DiskModel, DiskWorld, Proposal, put_disk
-from troutstand.testing.models.register import make_bid
+from troutstand.testing.models.disks import Disk, DiskModel, DiskWorld, Proposal, replace_disk
+from troutstand.testing.models.register import make_proposer
 
 _REGISTER = RegisterName("claim/w/key/1")
 _NAMES = ("k0", "k1", "k2")
-_LOST = "k2"
-_FIRST = KeeperSet(1, [Member(name, f"{name}-old", MemberState.voting) for name in _NAMES])
-_SECOND = replace_member(_FIRST, _LOST, f"{_LOST}-new")
-_THIRD = promote_member(_SECOND, _LOST)
-_SETS = (_FIRST, _SECOND, _THIRD)
+_REPLACED = "k2"
+_FIRST_SET = KeeperSet(1, [Member(name, f"{name}-old", MemberState.voting) for name in _NAMES])
+_SECOND_SET = replace_member(_FIRST_SET, _REPLACED, f"{_REPLACED}-new")
+_THIRD_SET = promote_member(_SECOND_SET, _REPLACED)
+_SETS = (_FIRST_SET, _SECOND_SET, _THIRD_SET)
 
 
-def _find_set(_: DiskWorld, epoch: int) -> KeeperSet:
+def _get_keeper_set(_: DiskWorld, epoch: int) -> KeeperSet:
     return _SETS[epoch - 1]
 
 
-_MODEL = DiskModel(_NAMES, _REGISTER, _find_set)
+_MODEL = DiskModel(_NAMES, _REGISTER, _get_keeper_set)
 
 
 @dataclass(frozen=True)
 class ReplacementModel:
-    """Choose which guard is taken out.
+    """Configure the safeguards.
 
     Parameters
     ----------
-    copies
-        Whether the new disk copies from every voter before it votes.
+    copies_records
+        Whether the new disk copies the records of every voter before it votes.
     checks_epoch
-        Whether voters refuse a copy until they know the second set.
+        Whether voters reject a copy request until they have installed the second set.
     """
 
-    copies: bool = True
+    copies_records: bool = True
     checks_epoch: bool = True
 
     def make_spec(self) -> ModelSpec[DiskWorld]:
         """Make the specification to check."""
-        blank = RegisterState(_REGISTER)
-        disks = tuple(Disk(f"{name}-old", 1, blank) for name in _NAMES)
-        proposals = (Proposal(make_bid("a", 1)), Proposal(make_bid("b", 2)))
+        empty = RegisterState(_REGISTER)
+        disks = tuple(Disk(f"{name}-old", 1, empty) for name in _NAMES)
+        proposals = (Proposal(make_proposer("a", 1)), Proposal(make_proposer("b", 2)))
         return ModelSpec(
             "replacement",
             DiskWorld(disks, proposals),
@@ -66,36 +66,36 @@
     def _list_steps(self, world: DiskWorld) -> list[Step[DiskWorld]]:
         steps: list[Step[DiskWorld]] = []
         for index, proposal in enumerate(world.proposals):
-            if not proposal.bid.started:
-                # The first begins before the repair, the second during or after it.
+            if not proposal.state.is_started:
+                # The first ballot starts before the replacement, the second during or after it.
                 epochs = (1,) if index == 0 else range(2, world.decided_epoch + 1)
-                steps += [_MODEL.start(world, index, epoch) for epoch in epochs]
+                steps += [_MODEL.start_ballot(world, index, epoch) for epoch in epochs]
         return steps + _MODEL.list_deliveries(world) + self._list_changes(world)
 
     def _list_changes(self, world: DiskWorld) -> list[Step[DiskWorld]]:
         steps: list[Step[DiskWorld]] = []
-        lost = world.disks[2]
-        if lost.disk_id.endswith("old"):
-            fresh = Disk(f"{_LOST}-new", 0, RegisterState(_REGISTER))
-            steps.append(Step("k2 loses its disk", put_disk(world, 2, fresh)))
+        replaced = world.disks[2]
+        if replaced.disk_id.endswith("old"):
+            empty = Disk(f"{_REPLACED}-new", 0, RegisterState(_REGISTER))
+            steps.append(Step("k2 loses its disk", replace_disk(world, 2, empty)))
             return steps
         if world.decided_epoch == 1:
             steps.append(Step("second set decided", replace(world, decided_epoch=2)))
         for number, disk in enumerate(world.disks):
             if disk.epoch < world.decided_epoch:
                 later = replace(disk, epoch=disk.epoch + 1)
-                steps.append(Step(f"k{number} learns a set", put_disk(world, number, later)))
-        if lost.epoch == 2:
+                steps.append(Step(f"k{number} installs a set", replace_disk(world, number, later)))
+        if replaced.epoch == 2:
             steps += [s for number in (0, 1) if (s := self._copy(world, number))]
-        is_copied = world.copied_from == {"k0", "k1"} or not self.copies
-        if world.decided_epoch == 2 and lost.epoch == 2 and is_copied:
+        is_copied = world.copied_from == {"k0", "k1"} or not self.copies_records
+        if world.decided_epoch == 2 and replaced.epoch == 2 and is_copied:
             steps.append(Step("third set decided", replace(world, decided_epoch=3)))
-        if world.decided_epoch == 3 and not world.is_second_lost:
-            gone = Disk("k0-new", 0, RegisterState(_REGISTER))
-            after = replace(put_disk(world, 0, gone), is_second_lost=True)
+        if world.decided_epoch == 3 and not world.is_second_disk_lost:
+            empty = Disk("k0-new", 0, RegisterState(_REGISTER))
+            after = replace(replace_disk(world, 0, empty), is_second_disk_lost=True)
             steps.append(Step("k0 loses its disk", after))
         return steps
 
     def _copy(self, world: DiskWorld, number: int) -> Step[DiskWorld] | None:
         epoch = 2 if self.checks_epoch else world.disks[number].epoch
-        return _MODEL.copy(world, 2, number, epoch)
+        return _MODEL.copy_records(world, 2, number, epoch)
--- a/troutstand/tests/steps/models.py
+++ b/troutstand/tests/steps/models.py
@@ -16,15 +16,15 @@
 @when('the model "{name}" is searched to its end')
 def search_model(context: Context, name: str) -> None:
     specs = {**list_models(), **list_broken_models()}
-    context.verdict = check_model(specs[name])
+    context.result = check_model(specs[name])
 
 
 @then("every property holds")
 def assert_holds(context: Context) -> None:
-    assert context.verdict.states > 1, context.verdict
-    assert context.verdict.holds, context.verdict.violations
+    assert context.result.state_count > 1, context.result
+    assert context.result.holds, context.result.violations
 
 
 @then('the property "{name}" is violated')
 def assert_violated(context: Context, name: str) -> None:
-    assert name in context.verdict.violations, context.verdict
+    assert name in context.result.violations, context.result
