--- a/troutstand/tests/begun.feature
+++ b/troutstand/tests/begun.feature
@@ -1,14 +1,7 @@
 Feature: An answer that has begun goes on, or breaks off where the caller can see it
 
-  # Symptom: callers of resumable streams read bytes that are no answer in HTTP.
-  # Sequence: a target broke off its stream; the gateway went on at a second target, which
-  # answered with a whole 500 of its own; no attempt was left, so the gateway passed that
-  # answer on.
-  # Cause: it was passed on with a head of its own, amid the chunked body that the caller was
-  # reading. Nothing asked whether an answer had begun before another one was written.
-  # Settled by: this scenario, which failed with the symptom itself, and by the log:
-  # "attempt_failed ending=broken arrivals=1", and 8 ms later "request_answered status=500
-  # arrivals=1 pause_ms=169.228" of the same request. Pauses are measured from a stream's
+  # Guards against a second response head inside a stream that has started: the gateway resumed
+  # the stream at another target and forwarded that target's error response whole.
   # second piece on; a stream that ends for good is logged as "stream_broken_off".
 
   Scenario: The target that goes on with a stream fails
@@ -31,8 +24,7 @@
       | /stream/resume/       | 200 with a text               |
       | /stream/resume/       | 204 without a body            |
 
-  # The same cause, without a second head: what another target adds was not compared with
-  # the events that the caller has.
+  # Guards against forwarding events of another target that do not continue the ones already sent.
 
   Scenario Outline: Targets <oddity> on <route>
     Given a routed site with odd targets, which <oddity>
--- a/troutstand/tests/crashers.feature
+++ b/troutstand/tests/crashers.feature
@@ -1,15 +1,7 @@
 Feature: A request that ends the targets that run it
 
-  # One caller sent a body that ended every target that began to run it, and sent it again
-  # every few hundred milliseconds, each time as a request of its own. A request was known
-  # by its id alone, so that each of these was new, got every attempt of its route, and took
-  # as many targets with it. Sixteen of them ended within 11 s under the one body. 10 s after
-  # the first, the scheduler still logged "event=request_placed waited_ms=0 running=1", the
-  # gateway 88 ms later "event=attempt_failed ending=broken arrivals=1", the scheduler 1 ms
-  # after that another "event=request_placed", and the gateway "arrivals=2" 90 ms on.
-  # A sound request that stood beside it was logged as "ending=unsent arrivals=0", although
-  # its target had received it: its kept connection failed, the new one was refused, and
-  # only the refusal counted.
+  # Guards against one body that crashes every target that runs it: a retry under a new request
+  # id must not get a new set of attempts.
 
   Scenario: A body that ended three targets is sent to no more of them
     Given a routed site with 6 engines that one body ends
@@ -65,8 +57,8 @@
       | /do/  |
       | /get/ |
 
-  # A caller that is told 429 or 503 may take its request as not run. One whose only target
-  # had ended while it ran the request was told "status=429 code=3001 arrivals=1".
+  # Guards against refusing with 429 or 503, which callers read as not run, a request that a target
+  # may have run.
   Scenario: A request that a target may have run is not refused as if it had not
     Given a routed site with 1 plain targets that one body ends
     When the deadly body is called 1 times as /get/
--- a/troutstand/tests/crashes.feature
+++ b/troutstand/tests/crashes.feature
@@ -100,9 +100,8 @@
     When 1 targets end in turn under the body p
     Then a request with the body p is refused with 3012 and told to come back in 600 s
 
-  # An engine's connection may be reset a moment before its address refuses others: the look
-  # found it open, "target_gone=False", and the refusal 20 ms later was told after two later
-  # ends, so that a fourth engine ended.
+  # Guards against losing a crash that is reported late: a connection may be reset shortly before
+  # the target's address refuses new ones.
   Scenario: An end that is told after later ones counts as well
     When an answer to the body p breaks off, and 2 targets end in turn under it
     And the first target refuses a connection 0.1 s later
--- a/troutstand/tests/domainlimits.feature
+++ b/troutstand/tests/domainlimits.feature
@@ -1,9 +1,7 @@
 Feature: Entry processes and their scheduler keep to what targets name and say of leaving
 
-  # The same cause as in namedlimits.feature, at the OpenAI side: a limit that an engine or a
-  # service worker names in its answers was read nowhere, and neither was the header by which a
-  # target says that it leaves. Of 30 prompts a second an engine that named 1 a second got its
-  # third, and one that had said that it leaves got as many as before.
+  # Guards against ignoring the rate limit or the leaving header in the responses of an engine or
+  # service worker.
 
   Scenario: An engine that names a limit gets no more than that
     Given a site of 3 engines of which 1 names a limit of 1 requests a second
@@ -29,7 +27,7 @@
     Then that engine got nothing later than 1 s after its first
     And every prompt is answered
 
-  # Decisions, on a clock of their own.
+  # Decision tests on a simulated clock.
 
   Scenario: The limit is spent, and not more
     Given a scheduler with 2 trusted targets of 2 slots
@@ -70,7 +68,7 @@
       | the list shows it as leaving, and then no more      | 10    | 40   |
       | the table gives it another address                  | 10    | 40   |
 
-  # Told by all slots, a caller came back when half of the queue before it had still to be served.
+  # Guards against a Retry-After that counts slots which the target's rate limit leaves unused.
   Scenario: The places of a target that names a limit do not count in the time that callers are told
     Given a scheduler with 2 trusted targets of 2 slots
     When the first target names a limit of 0.25 a second
--- a/troutstand/tests/domainrests.feature
+++ b/troutstand/tests/domainrests.feature
@@ -1,9 +1,7 @@
 Feature: Entry processes and their scheduler leave targets alone that ask for rest
 
-  # The same cause as in resting.feature, at the OpenAI side: what a refusal asked for was not
-  # read. An engine that answered 503 counted as faulty and was tried again after 1 s, however
-  # long it wanted rest; the 503 of a plain service passed as its answer, so that the worker
-  # that gave it counted as sound and went on getting calls.
+  # Guards against ignoring the backoff that an engine or service worker asks for in a 503: it was
+  # retried too early, or its 503 counted as a healthy response.
 
   Scenario: An engine that turns requests away is left alone as long as it asks
     Given a site of 3 engines of which 1 turns requests away and asks for 4 s of rest
--- a/troutstand/tests/hardload.feature
+++ b/troutstand/tests/hardload.feature
@@ -1,27 +1,24 @@
 Feature: Under hard load higher tiers and light workspaces keep their room
 
-  # Two engines of four slots are full of streams of 4 s of the lower tier, twice what fits.
-  # Every short request of the higher tier was refused on arrival: the next slot was expected
-  # after 0.5 s, its objective is 0.4 s. The lower tier was served as if nobody else had come.
+  # Guards against long streams of a lower tier that fill all slots, so that every short request of
+  # a higher tier is refused on arrival.
   Scenario: Short requests of a higher tier come in time behind long streams of a lower one
     Given 2 targets of 4 slots that protect tiers
     When 4 streams of tier 1 that hold a slot for 4 s come a second, for 24 s
     And 5 requests of tier 0 that hold a slot for 0.02 s come a second, from 3 s on
     Then 0.95 of tier 0 are in time and none is refused
-    # Before that no slot becomes free at all: the streams that run were placed together.
+    # No slot becomes free before that: the streams in flight were placed together.
     And all of tier 0 that come 1.1 s after the first are in time
     And tier 1 is served 0.8 times as often as without tier 0
 
-  # Twice what fits for 3 s, then a quarter of it. Refused on arrival, 116 of 320 callers went
-  # without an answer, though each had 8 s and room came after 3.
+  # Guards against refusing callers on arrival in a burst although they have time left to wait.
   Scenario: Callers with time left are served late after a burst
     Given 2 targets of 4 slots that protect tiers
     When 80 requests of tier 0 that hold a slot for 0.2 s come a second, for 3 s
     And 10 requests of tier 0 that hold a slot for 0.2 s come a second, from 3 s on, for 8 s
     Then half as many go unserved as without the setting, and as many are in time
 
-  # Told the wait behind the queue alone, callers came back into the same burst: 149 of 390 were
-  # refused twice, and with late service 51.
+  # Guards against a Retry-After that sends callers back into the same burst.
   Scenario: Callers who come back as told are rarely refused again
     Given 2 targets of 4 slots that protect tiers
     When 80 requests of tier 0 that hold a slot for 0.2 s come a second, for 4 s
@@ -29,7 +26,7 @@
     And their callers come back once, when they are told to
     Then a third as many are refused twice as without the setting
 
-  # Callers left at 4 s while they waited: 28 of 810 requests of a day more than before.
+  # Guards against queueing requests for so long that their callers hang up.
   Scenario: Nobody waits for longer than callers bear to hear nothing
     Given 2 targets of 4 slots that protect tiers
     When 80 requests of tier 0 that hold a slot for 0.2 s come a second, for 3 s
@@ -42,9 +39,8 @@
     And 5 requests of tier 0 that hold a slot for 0.02 s come a second, from 3 s on
     Then tier 1 is served 1 times as often as without tier 0
 
-  # Two targets of four slots serve 80 requests a second. The light workspace asks for half of
-  # its equal share or less; in order of arrival it had 0.05 to 0.26 of it in time, and who
-  # repeated at once gained by it.
+  # Guards against a workspace that floods a service and starves one that asks for less than its
+  # share. The two targets serve 80 requests a second.
   Scenario Outline: A light workspace is in time beside <floods> that ask for <per_s> a second
     Given 2 targets of 4 slots that share fairly
     When <floods> workspaces ask for <per_s> requests a second each, and repeat <repeats> times at once
--- a/troutstand/tests/limits.feature
+++ b/troutstand/tests/limits.feature
@@ -48,9 +48,8 @@
     When a workspace takes all it can at once, gives it back after 3 s, and asks for four times as much for 20 s
     Then no window of 8 s holds more than 7070 tokens
 
-  # At 2,500 requests a second over 16 limits, of which most were refused and had taken and
-  # given back, the windows held 23,165 amounts; summing them up took 14.4 ms each 0.1 s, in
-  # which the decider decided nothing, and its gateways' heartbeats waited.
+  # Guards against a sum over the sliding windows that grows with the requests and blocks the
+  # scheduler's event loop.
   Scenario: Summing up windows takes no longer the more requests come
     Given a limit of 400000 tokens a second and a burst of 65000, judged over 8 s with 10 in 100 and 190000 excess
     When 20000 requests come within 7 s, and half of them give back what they took
--- a/troutstand/tests/limitshandover.feature
+++ b/troutstand/tests/limitshandover.feature
@@ -1,9 +1,7 @@
 Feature: What workspaces took of their limits counts once, whoever decides next
 
-  # After all schedulers had lost power each gateway that came to a new one brought the whole
-  # of what it had taken as if it were one of the few that had come by then, and took what the
-  # scheduler told to the next one. Within 1.1 s limits were 6.4 times full (16 gateways), and
-  # everything of four workspaces was refused for 6 s (766 tries), while targets stood open.
+  # Guards against counting the usage that gateways report more than once when they attach to a
+  # scheduler that has just started, which exhausts the limits.
   Scenario Outline: A scheduler that has just begun counts what <count> gateways took once
     Given <count> gateways that took 0.5 of a workspace's limit together
     When all of them attach to a scheduler that has just begun
@@ -27,7 +25,7 @@
     And half of them fall silent, decide alone and come back
     Then it counts 0.5 of the limit as taken
 
-  # Its part of what was taken may be within the window still.
+  # Usage reported before the gateway restarted may still be inside the window.
   Scenario: What was taken through a gateway that has started again still counts
     Given 16 gateways that took 0.5 of a workspace's limit together
     When all of them attach to a scheduler that has just begun
--- a/troutstand/tests/namedlimits.feature
+++ b/troutstand/tests/namedlimits.feature
@@ -1,11 +1,7 @@
 Feature: Targets that name how many requests a second they take
 
-  # Two of five engines named, in every answer, a limit of 1.7 and 1.9 requests a second for all
-  # gateways together, and were sent 3.3 and 3.2 a second like those beside them. Nobody
-  # read the limit: the scheduler went on counting all five as free and chose among them by
-  # their expected first byte, "event=request_placed running=0 ... open=5" seven times within
-  # 0.75 s for one of the two. 33 requests reached it in 10 s, 16 of them within 4 s, and none
-  # was turned away.
+  # Guards against ignoring the rate limit, one for all gateways together, that targets name in
+  # their responses.
 
   Scenario: Engines that name a limit get no more than that, and the others take the load
     Given a routed site with 5 engines and 2 plain targets
--- a/troutstand/tests/pacing.feature
+++ b/troutstand/tests/pacing.feature
@@ -1,7 +1,7 @@
 Feature: A target that names a limit is sent no more than that by all who decide together
 
-  # The same cause as in namedlimits.feature, one decision at a time: a limit of requests a
-  # second is one for all gateways, holds while answers name it, and is handed over.
+  # Guards against exceeding a target's rate limit: it is shared by all gateways, holds while
+  # responses name it, and is handed over between schedulers.
 
   Background:
     Given a desk for 3 targets of 2 slots
@@ -11,7 +11,7 @@
     And gateway-1 and gateway-2 ask for all places for 12 s
     Then t1 got <least> to <most> requests, and at most <window> within 4 s
 
-    # A limit below 0.25 a second is tried once in 4 s, since only an answer tells of its end.
+    # A limit below 0.25 a second is probed once in 4 s, since only a response shows its end.
     Examples:
       | limit | least | most | window |
       | 2     | 22    | 25   | 9      |
@@ -106,7 +106,7 @@
     When t1 names a limit of 5 a second to gateway-1
     Then the service has no room to spare
 
-  # A gateway keeps the limit for whoever decides next.
+  # Gateways store the limit for the next scheduler.
 
   Scenario: A gateway tells each decider of the limit as long as it holds
     When the book hears in an answer of 100 s that t1 takes 1.7 a second
--- a/troutstand/tests/reach.feature
+++ b/troutstand/tests/reach.feature
@@ -26,10 +26,8 @@
     And a third one in south cannot be reached from north
     Then requests from north go to targets in north only
 
-  # Five engines ended one after the other. Each refused connections from then on, which two
-  # failed sends of a failure domain's gateways took for a way that is cut: the log holds
-  # "event=way_lost" 12 times within 7 s, though no link was harmed, and the engines that
-  # were left or back got nothing from there for a second each time.
+  # Guards against taking targets that refuse connections, and so have ended, for a lost network
+  # link to their failure domain.
   Scenario: Targets that refuse connections have ended, and their way is open
     Given 4 targets in each of the failure domains north and south
     When two targets in south refuse connections from north
