--- a/troutstand/daemon/callerapi.py
+++ b/troutstand/daemon/callerapi.py
@@ -10,21 +10,21 @@
 
 from troutstand.core.codes import ResultCode
 from troutstand.core.errors import TroutstandError
-from troutstand.daemon.enginerequests import EngineRequests
-from troutstand.daemon.errorresponse import make_error_response
-from troutstand.daemon.requests import (
+from troutstand.daemon.callerrequests import (
     get_idempotency_key,
     parse_attempt,
     parse_engine_request,
     read_body,
 )
+from troutstand.daemon.enginerequests import EngineRequests
+from troutstand.daemon.errorresponse import make_error_response
 from troutstand.daemon.servicecalls import ServiceCall, ServiceCallHandler
 from troutstand.generated.messages import ProcessState
 from troutstand.util.listening import abort_response, has_response_started
 
 if TYPE_CHECKING:
+    from troutstand.daemon.callerrequests import Caller
     from troutstand.daemon.entry import EntryProcess
-    from troutstand.daemon.requests import Caller
 
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
--- a/troutstand/daemon/relay.py
+++ b/troutstand/daemon/enginerelay.py
@@ -18,7 +18,7 @@
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
 
-    from troutstand.daemon.requests import EngineRequest
+    from troutstand.daemon.callerrequests import EngineRequest
 
 MAX_RESUMES = 3
 # A target that sends nothing for this long, and for this multiple of the expected time to
--- a/troutstand/daemon/enginerequests.py
+++ b/troutstand/daemon/enginerequests.py
@@ -13,15 +13,15 @@
 from troutstand.core.answerstream import DONE_EVENT, AnswerEvent, frame_event
 from troutstand.core.codes import ResultCode, Run
 from troutstand.core.errors import TroutstandError
+from troutstand.daemon.enginerelay import EngineRelay, assemble_answer
 from troutstand.daemon.errorresponse import IDEMPOTENCY_KEY_HEADER, encode_error
-from troutstand.daemon.relay import EngineRelay, assemble_answer
 from troutstand.daemon.triedtargets import MAX_TARGETS
 from troutstand.generated.messages import Finished, Grant, PlacementAsk
 from troutstand.util.clock import MIN_SUSPEND_S, read_clock_s
 
 if TYPE_CHECKING:
+    from troutstand.daemon.callerrequests import EngineRequest
     from troutstand.daemon.entry import EntryProcess
-    from troutstand.daemon.requests import EngineRequest
 
 MAX_TRIES = 3
 _MS_PER_S = 1000
--- a/troutstand/daemon/entry.py
+++ b/troutstand/daemon/entry.py
@@ -13,13 +13,13 @@
 from troutstand.core.follower import Follower
 from troutstand.core.ids import ProcessId
 from troutstand.core.trace import SchedulerMessage
+from troutstand.daemon.callerrequests import TableIndex
 from troutstand.daemon.commandrunner import CommandRunner
 from troutstand.daemon.configuration import Configuration
 from troutstand.daemon.leasedscheduler import LeasedScheduler
 from troutstand.daemon.node import Node
 from troutstand.daemon.placement import Placement
 from troutstand.daemon.registers import RegisterClient
-from troutstand.daemon.requests import TableIndex
 from troutstand.daemon.triedtargets import TriedTargets
 from troutstand.generated.messages import (
     Acknowledged,
--- a/troutstand/daemon/servicecalls.py
+++ b/troutstand/daemon/servicecalls.py
@@ -22,8 +22,8 @@
 from troutstand.util.clock import read_clock_s
 
 if TYPE_CHECKING:
+    from troutstand.daemon.callerrequests import Caller
     from troutstand.daemon.entry import EntryProcess
-    from troutstand.daemon.requests import Caller
     from troutstand.generated.table import Service
 
 MAX_ATTEMPTS = 3
--- a/troutstand/tests/steps/domaincrashes.py
+++ b/troutstand/tests/steps/domaincrashes.py
@@ -16,9 +16,9 @@
 from troutstand.core.errors import TroutstandError
 from troutstand.core.ids import ProcessId
 from troutstand.core.prefix import Prefixes
+from troutstand.daemon.callerrequests import Caller, EngineRequest
+from troutstand.daemon.enginerelay import EngineRelay
 from troutstand.daemon.placement import Placement
-from troutstand.daemon.relay import EngineRelay
-from troutstand.daemon.requests import Caller, EngineRequest
 from troutstand.generated.messages import RunningReport
 from troutstand.generated.table import Model, Tier, Workspace
 from troutstand.testing.engine import Fault
