--- a/tools/codes.py
+++ b/tools/codes.py
@@ -1,4 +1,4 @@
-"""Write docs/RESULT-CODES.md from the enum of result codes."""
+"""Generate docs/RESULT-CODES.md from the enum of result codes."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 PAGE = Path(__file__).resolve().parent.parent / "docs" / "RESULT-CODES.md"
 _HEAD = """# Result codes
 
-Written by `make generate` from `troutstand/core/codes.py`; a test compares the two.
+Generated from `troutstand/core/codes.py` by `make generate`; a test checks that the two agree.
 
-A refusal carries the number as `error.number`, the name as `error.code`, and
-`error.run`: `no` where the request was not run, `unknown` where it may have
-been. `Retry-After` tells when to come back; without it, coming back is of no
-use. `troutstandctl` and `troutstandd` exit with the code in the last column.
+An error response has the number in `error.number`, the name in `error.code`, and
+`error.run`: `no` if the request was not run, `unknown` if it may have been run.
+`Retry-After` gives the delay before a retry; without it, a retry does not help.
+`troutstandctl` and `troutstandd` exit with the code in the last column.
 
 | number | name | meaning | HTTP status | exit code |
 | --- | --- | --- | --- | --- |
@@ -23,11 +23,11 @@
 
 
 def make_page() -> str:
-    """Make the page's text."""
+    """Return the text of the page."""
     rows = []
     for code in ResultCode:
-        meaning = describe_code(code)
-        cells = [code.value, code.name, meaning.text, meaning.http_status, meaning.exit_code]
+        info = describe_code(code)
+        cells = [code.value, code.name, info.text, info.http_status, info.exit_code]
         rows.append("| " + " | ".join(map(str, cells)) + " |")
     return _HEAD + "\n".join(rows) + "\n"
 
--- a/tools/count.py
+++ b/tools/count.py
@@ -1,4 +1,4 @@
-"""Read behave's summary, pass over what KNOWN-RED.txt names, and give CI's verdict."""
+"""Decide whether CI passes, from behave's summary and the failures listed in KNOWN-RED.txt."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
     r"^(\d+) scenarios? passed, (\d+) failed(?:, (\d+) error)?(?:, (\d+) skipped)?"
 )
 _FAILING = re.compile(r"^\s+(\S+\.feature:\d+)\s+(.*)$")
-# An entry tells what was seen and ends with the issue under which it is mended.
+# An entry has the test, the failure that was seen, and the issue that will fix it.
 _ENTRY = re.compile(r".+, .+, issue \d+")
 _MAX_ENTRY = 600
 _MAX_KNOWN = 4
-# What stands behind a scenario's name in the list of those that are known to fail.
+# Separates the name of a scenario from the command that runs it.
 _COMMAND = ", behave "
 
 
 def read_entries(path: Path) -> list[str]:
-    """Return the entries of the list of what is known to fail, a line each."""
+    """Return the entries of the list of known failures, one per line."""
     if not path.exists():
         return []
     lines = [line.strip() for line in path.read_text().splitlines()]
@@ -27,17 +27,17 @@
 
 
 def name_scenario(entry: str) -> str:
-    """Return the name of the scenario that an entry tells of; it may hold a comma."""
+    """Return the name of an entry's scenario, which may contain a comma."""
     return entry.split(_COMMAND)[0].strip()
 
 
 def is_complete(entry: str) -> bool:
-    """Tell whether an entry is short, tells what was seen and names an issue."""
+    """Return whether an entry is short enough and has test, failure and issue."""
     return len(entry) <= _MAX_ENTRY and bool(_ENTRY.fullmatch(entry))
 
 
 def main(report: Path, behave_status: int, lint_status: int) -> int:
-    """Print the counts alone on the last line and return the exit code."""
+    """Print the counts as the last line and return the exit code."""
     text = report.read_text()
     counts = [match for line in text.splitlines() if (match := _COUNTS.match(line))]
     if not counts:
--- a/tools/features.py
+++ b/tools/features.py
@@ -1,4 +1,4 @@
-"""Run every feature file in a process of its own, some side by side, and sum up."""
+"""Run every feature file in a separate process, several in parallel, and sum up the results."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
     r"^(\d+) scenarios? passed, (\d+) failed(?:, (\d+) error)?(?:, (\d+) skipped)?", re.MULTILINE
 )
 _UNDEFINED = re.compile(r"([1-9]\d*) undefined")
-# The longest first, so that none of them begins last.
+# Started first, since they take longest.
 _LONGEST = ("failure", "soak", "routed", "models", "serving", "callers")
 _DEFAULT_JOBS = 4
 
 
 @dataclass(frozen=True)
 class Outcome:
-    """Hold what one feature file's run printed and counted."""
+    """Hold the output and the counts of one feature file's run."""
 
     name: str
     text: str
@@ -34,15 +34,15 @@
 
 
 def run_feature(path: Path) -> Outcome:
-    """Run one feature file."""
+    """Run one feature file; count an undefined step or a missing summary as a failure."""
     command = [sys.executable, "-m", "behave", "-f", "plain", "--no-timings", str(path)]
-    done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=False)
-    text = done.stdout + done.stderr
-    found = _COUNTS.findall(text)
-    if not found or _UNDEFINED.search(text):
-        return Outcome(path.name, text, done.returncode or 1, 0, 1, 0)
-    passed, failed, errors, skipped = (int(group or 0) for group in found[-1])
-    return Outcome(path.name, text, done.returncode, passed, failed + errors, skipped)
+    completed = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=False)
+    text = completed.stdout + completed.stderr
+    summaries = _COUNTS.findall(text)
+    if not summaries or _UNDEFINED.search(text):
+        return Outcome(path.name, text, completed.returncode or 1, 0, 1, 0)
+    passed, failed, errors, skipped = (int(group or 0) for group in summaries[-1])
+    return Outcome(path.name, text, completed.returncode, passed, failed + errors, skipped)
 
 
 def _rank(path: Path) -> tuple[int, str]:
@@ -51,12 +51,12 @@
 
 
 def _list_failing(text: str) -> list[str]:
-    parts = re.split(r"^(?:Failing|Errored) scenarios:$", text, flags=re.MULTILINE)[1:]
-    return [line for part in parts for line in part.splitlines() if line.startswith("  ")]
+    sections = re.split(r"^(?:Failing|Errored) scenarios:$", text, flags=re.MULTILINE)[1:]
+    return [line for section in sections for line in section.splitlines() if line.startswith("  ")]
 
 
 def main(jobs: int) -> int:
-    """Run all features; print what failed and the sums."""
+    """Run all feature files; print the output of those that failed, and the total counts."""
     paths = sorted(TESTS.glob("*.feature"), key=_rank)
     with ThreadPoolExecutor(jobs) as pool:
         outcomes = list(pool.map(run_feature, paths))
--- a/tools/generate.py
+++ b/tools/generate.py
@@ -1,4 +1,4 @@
-"""Generate the typed records from the JSON Schemas under schema/."""
+"""Generate the record classes in troutstand/generated from the JSON Schemas in schema/."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parent.parent
-OUTPUT = ROOT / "troutstand" / "generated"
+OUTPUT_FOLDER = ROOT / "troutstand" / "generated"
 HEADER = '"""Hold records generated from schema/{name}.json; run `make generate`."""'
-STRICT = "troutstand.core.record.StrictRecord"
-OPEN = "troutstand.core.record.Record"
-SCHEMAS = {
-    "settings": STRICT,
-    "control": STRICT,
-    "table": STRICT,
-    "messages": OPEN,
-    "routing": STRICT,
-    "configuration": STRICT,
+STRICT_BASE = "troutstand.core.record.StrictRecord"
+LENIENT_BASE = "troutstand.core.record.Record"
+BASE_CLASSES = {
+    "settings": STRICT_BASE,
+    "control": STRICT_BASE,
+    "table": STRICT_BASE,
+    "messages": LENIENT_BASE,
+    "routing": STRICT_BASE,
+    "configuration": STRICT_BASE,
 }
 
 
 def _require_defaults(node: object) -> None:
-    """Mark fields with a default as required, so that their type stays plain."""
+    """Mark fields with a default as required, so that their types don't become optional."""
     if isinstance(node, list):
         for item in node:
             _require_defaults(item)
@@ -40,7 +40,7 @@
 
 
 def generate_module(name: str, base_class: str, folder: Path) -> None:
-    """Write the module of one schema into a folder."""
+    """Generate the module of one schema in a folder."""
     schema = json.loads((ROOT / "schema" / f"{name}.json").read_text())
     _require_defaults(schema)
     with tempfile.TemporaryDirectory() as scratch:
@@ -64,26 +64,27 @@
 
 
 def generate(folder: Path) -> None:
-    """Write every generated module into a folder."""
-    for name, base_class in SCHEMAS.items():
+    """Generate the modules of all schemas in a folder."""
+    for name, base_class in BASE_CLASSES.items():
         generate_module(name, base_class, folder)
 
 
 def check() -> int:
-    """Compare the committed modules with the schemas' and return an exit code."""
+    """Return 0 if the committed modules match their schemas, otherwise 1."""
     with tempfile.TemporaryDirectory(dir=ROOT) as scratch:
         generate(Path(scratch))
-        stale = [
+        outdated = [
             name
-            for name in SCHEMAS
-            if (Path(scratch) / f"{name}.py").read_text() != (OUTPUT / f"{name}.py").read_text()
+            for name in BASE_CLASSES
+            if (Path(scratch) / f"{name}.py").read_text()
+            != (OUTPUT_FOLDER / f"{name}.py").read_text()
         ]
-    for name in stale:
+    for name in outdated:
         print(f"troutstand/generated/{name}.py differs from its schema: run `make generate`")
-    return 1 if stale else 0
+    return 1 if outdated else 0
 
 
 if __name__ == "__main__":
     if "--check" in sys.argv:
         sys.exit(check())
-    generate(OUTPUT)
+    generate(OUTPUT_FOLDER)
