--- a/troutstand/daemon/admin.py
+++ b/troutstand/daemon/admin.py
@@ -168,7 +168,9 @@
 
     async def _get_targets(self, _: web.Request) -> web.Response:
         process = self._process
-        scheduler = process.scheduling.scheduler if isinstance(process, EntryProcess) else None
+        scheduler = (
+            process.leased_scheduler.scheduler if isinstance(process, EntryProcess) else None
+        )
         if scheduler is None:
             raise TroutstandError(
                 ResultCode.NO_SCHEDULER,
--- a/troutstand/daemon/callerapi.py
+++ b/troutstand/daemon/callerapi.py
@@ -60,7 +60,7 @@
     def make_app(self) -> web.Application:
         """Return the aiohttp application with the API's routes."""
         limit = self._entry.settings.limits.body_bytes
-        app = web.Application(middlewares=[self._guard], client_max_size=limit)
+        app = web.Application(middlewares=[self._handle_errors], client_max_size=limit)
         app.router.add_post("/v1/chat/completions", self._serve_engine)
         app.router.add_post("/v1/completions", self._serve_engine)
         app.router.add_get("/v1/models", self._list_models)
@@ -69,7 +69,7 @@
         return app
 
     @web.middleware
-    async def _guard(self, request: web.Request, handler: Handler) -> web.StreamResponse:
+    async def _handle_errors(self, request: web.Request, handler: Handler) -> web.StreamResponse:
         """Count the running call and turn every failure into an error response."""
         self._entry.running_calls += 1
         try:
--- a/troutstand/daemon/commandrunner.py
+++ b/troutstand/daemon/commandrunner.py
@@ -194,13 +194,13 @@
 
     def __init__(
         self,
-        commands: CommandRunner,
+        runner: CommandRunner,
         command: Command,
         nonce: str,
         wait_s: float,
         send_once: SendOnce,
     ) -> None:
-        self._commands = commands
+        self._runner = runner
         self._command = command
         self._nonce = nonce
         self._wait_s = wait_s
@@ -228,15 +228,15 @@
         match action:
             case ProposeClaim():
                 register = name_outcome_register(self._command.key, self._command.attempt)
-                self._future = self._commands.open_attempt(register, self._nonce)
+                self._future = self._runner.open_attempt(register, self._nonce)
                 is_fresh = self._command.is_key_generated and action.claim.owner != NO_OWNER
-                return await self._commands.propose_claim(action, is_fresh)
+                return await self._runner.propose_claim(action, is_fresh)
             case ReadClaim():
-                return await self._commands.read_claim(action)
+                return await self._runner.read_claim(action)
             case ProposeOutcome():
-                return await self._commands.propose_outcome(action)
+                return await self._runner.propose_outcome(action)
             case AskOwner():
-                return await self._commands.ask_owner(action, self._wait_s)
+                return await self._runner.ask_owner(action, self._wait_s)
             case Dispatch():
                 outcome = await self._send_once()
                 self._resolve(outcome)
--- a/troutstand/daemon/configuration.py
+++ b/troutstand/daemon/configuration.py
@@ -91,8 +91,8 @@
             self.on_change()
             self._forward_changes(before)
 
-    def _forward_changes(self, before: int) -> None:
-        """Send the changes since a version to the peers that are known to have it.
+    def _forward_changes(self, base_version: int) -> None:
+        """Send the changes since the base version to the peers known to have that version.
 
         A peer that misses the message pulls the changes after the next heartbeat.
         """
@@ -100,11 +100,11 @@
         for process, latest in self._peers.heartbeats.items():
             # Heartbeats can be older than the version sent to the peer last.
             known_version = max(latest.heartbeat.version, self._sent_versions.get(process, 0))
-            if before <= known_version < self.version:
+            if base_version <= known_version < self.version:
                 behind.append(process)
                 self._sent_versions[process] = self.version
         if behind:
-            self._peers.broadcast(self.follower.answer(ChangesAsk(before)), behind)
+            self._peers.broadcast(self.follower.answer(ChangesAsk(base_version)), behind)
 
     async def pull(self, process: ProcessId) -> None:
         """Fetch and apply the changes that a peer has and this process lacks."""
@@ -148,8 +148,8 @@
         ExceptionGroup
             TABLE_INVALID errors.
         """
-        known = self.follower.table.find_edit(change.edit_id)
-        edit = Edit(change.edit_id, change.base, self.version, known)
+        accepted_version = self.follower.table.find_edit(change.edit_id)
+        edit = Edit(change.edit_id, change.base, self.version, accepted_version)
         action = edit.start()
         while True:
             match action:
--- a/troutstand/daemon/enginerequests.py
+++ b/troutstand/daemon/enginerequests.py
@@ -42,12 +42,12 @@
     excluded: list[str] = field(default_factory=list)
     dispatched: bool = False
     last_error: TroutstandError | None = None
-    preempted_retry_s: float | None = None
+    preempted_retry_after_s: float | None = None
     response: web.StreamResponse | None = None
 
-    def preempt(self, retry_s: float) -> None:
+    def preempt(self, retry_after_s: float) -> None:
         """Cancel the request in favour of a higher tier."""
-        self.preempted_retry_s = retry_s
+        self.preempted_retry_after_s = retry_after_s
         if self.task:
             self.task.cancel()
 
@@ -58,7 +58,7 @@
     def __init__(self, entry: EntryProcess) -> None:
         self._entry = entry
 
-    async def serve(self, http: web.Request, request: EngineRequest) -> web.StreamResponse:
+    async def serve(self, http_request: web.Request, request: EngineRequest) -> web.StreamResponse:
         """Serve a request and return the caller's response.
 
         Raises
@@ -73,22 +73,22 @@
             self._exclude(state, await self._entry.tried_targets.collect(request.workspace_key))
         try:
             while True:
-                response = await self._try_target(http, state)
+                response = await self._try_target(http_request, state)
                 if response is not None:
                     return response
         except asyncio.CancelledError:
-            if state.preempted_retry_s is None:
+            if state.preempted_retry_after_s is None:
                 raise
             asyncio.current_task().uncancel()  # pyright: ignore[reportOptionalMemberAccess]
             error = TroutstandError(
                 ResultCode.PREEMPTED,
                 run=Run.UNKNOWN,
-                retry_after_s=state.preempted_retry_s,
+                retry_after_s=state.preempted_retry_after_s,
             )
             return await self._fail(state, error)
 
     async def _try_target(
-        self, http: web.Request, state: _RequestState
+        self, http_request: web.Request, state: _RequestState
     ) -> web.StreamResponse | None:
         """Try one target; return None if another target should be tried."""
         grant = await self._place(state)
@@ -111,7 +111,7 @@
         )
         state.tried.append(grant.target)
         try:
-            response = await self._relay(http, state, relay)
+            response = await self._relay(http_request, state, relay)
         except TroutstandError as error:
             self._entry.events.emit(
                 "target_failed", grant.request, error.code, target=grant.target, detail=error.detail
@@ -183,7 +183,7 @@
             raise
 
     async def _relay(
-        self, http: web.Request, state: _RequestState, relay: EngineRelay
+        self, http_request: web.Request, state: _RequestState, relay: EngineRelay
     ) -> web.StreamResponse:
         if not state.request.stream:
             events = [event async for batch in relay.read() for event in batch]
@@ -191,7 +191,7 @@
             headers = {IDEMPOTENCY_KEY_HEADER: state.request.key}
             return web.Response(body=body, content_type="application/json", headers=headers)
         async for batch in relay.read():
-            response = state.response or await self._start_response(http, state)
+            response = state.response or await self._start_response(http_request, state)
             await response.write(self._encode_batch(state.request, batch))
         response = state.response
         assert response is not None
@@ -199,7 +199,9 @@
         await response.write_eof()
         return response
 
-    async def _start_response(self, http: web.Request, state: _RequestState) -> web.StreamResponse:
+    async def _start_response(
+        self, http_request: web.Request, state: _RequestState
+    ) -> web.StreamResponse:
         headers = {
             "Content-Type": "text/event-stream",
             "Cache-Control": "no-cache",
@@ -207,7 +209,7 @@
         }
         response = web.StreamResponse(headers=headers)
         state.response = response
-        await response.prepare(http)
+        await response.prepare(http_request)
         return response
 
     def _encode_batch(self, request: EngineRequest, batch: list[AnswerEvent]) -> bytes:
--- a/troutstand/daemon/entry.py
+++ b/troutstand/daemon/entry.py
@@ -87,22 +87,26 @@
         self.running_calls = 0
         self._is_wait_logged = False
         self._backends: dict[str, Backend] = {}
-        self.scheduling: LeasedScheduler
+        self.leased_scheduler: LeasedScheduler
 
     async def start(self) -> None:
         """Open the links and start the background tasks."""
         self.session = make_session()
-        self.scheduling = LeasedScheduler(self.node, self.follower, self.placement, self.session)
+        self.leased_scheduler = LeasedScheduler(
+            self.node, self.follower, self.placement, self.session
+        )
         self.node.make_heartbeat = self._make_heartbeat
         await self.node.start(self.handle)
         self.node.spawn(self._run_heartbeats(), "heartbeat")
         self.node.spawn(self._become_ready(), "readiness")
-        self.node.spawn(self.scheduling.run(), "lease")
-        self.node.spawn(self.scheduling.run_ticks(), "ticks")
+        self.node.spawn(self.leased_scheduler.run(), "lease")
+        self.node.spawn(self.leased_scheduler.run_ticks(), "ticks")
         if self.settings.statsd:
-            self.node.spawn(self.scheduling.run_gauges(), "gauges")
+            self.node.spawn(self.leased_scheduler.run_gauges(), "gauges")
         if self.settings.host_list_url:
-            self.node.spawn(self.scheduling.run_host_list(self.settings.host_list_url), "host list")
+            self.node.spawn(
+                self.leased_scheduler.run_host_list(self.settings.host_list_url), "host list"
+            )
 
     async def stop(self) -> None:
         """Stop the node and close the HTTP session."""
@@ -117,7 +121,7 @@
         self.node.state = ProcessState.draining
         self.events.emit("drain_started", running=self.running_calls)
         self.node.send_heartbeats()
-        self.scheduling.step_down()
+        self.leased_scheduler.step_down()
         end_s = read_clock_s() + self.settings.limits.drain_s
         while self.count_open() and read_clock_s() < end_s:
             await asyncio.sleep(_DRAIN_POLL_S)
@@ -141,7 +145,7 @@
         """Handle a message of a peer and return the reply, if it has one."""
         match message:
             case PlacementAsk() | Finished() | Withdraw() | RunningReport() | TargetNotices():
-                self.scheduling.handle(peer, message)
+                self.leased_scheduler.handle(peer, message)
                 return None
             case Grant() | Shed() | Preempt():
                 if peer == self.placement.scheduler:
@@ -151,9 +155,9 @@
                 self._handle_heartbeat(message)
                 return None
             case LeaseAsk():
-                return self.scheduling.handle_ask(peer, message)
+                return self.leased_scheduler.handle_ask(peer, message)
             case LeaseRelease():
-                self.scheduling.handle_release(message)
+                self.leased_scheduler.handle_release(message)
                 return Acknowledged()
             case OutcomeAsk():
                 return self.command_runner.handle_ask(message)
@@ -177,7 +181,7 @@
         if scheduler != self.node.process:
             return self.node.peers.send(scheduler, message)
         if isinstance(message, SchedulerMessage):
-            return self.scheduling.handle(scheduler, message)
+            return self.leased_scheduler.handle(scheduler, message)
         return False
 
     # Heartbeats
@@ -194,14 +198,14 @@
             state=self.node.state,
             version=self.follower.version,
             epoch=self.registers.epoch,
-            scheduling=self.scheduling.is_held,
+            scheduling=self.leased_scheduler.is_held,
         )
 
     def _handle_heartbeat(self, heartbeat: Heartbeat) -> None:
         self.node.record_heartbeat(heartbeat)
         process = ProcessId(heartbeat.process)
         if process in self.node.peers.domain_entries:
-            self.scheduling.follow_scheduler()
+            self.leased_scheduler.follow_scheduler()
         if heartbeat.epoch > self.registers.epoch:
             self.node.spawn(self.registers.refresh_keepers(), "refresh keepers")
         is_ready = self.node.state is not ProcessState.starting
@@ -265,7 +269,7 @@
         if self.node.state is ProcessState.starting:
             return
         self.table_index.update(self.follower.table)
-        self.scheduling.update_table()
+        self.leased_scheduler.update_table()
         targets = self.table_index.targets
         for name, row in targets.items():
             backend = self._backends.get(name)
--- a/troutstand/daemon/triedtargets.py
+++ b/troutstand/daemon/triedtargets.py
@@ -33,14 +33,14 @@
         self._unreachable: set[ProcessId] = set()
 
     def handle_ask(self, ask: TriedAsk) -> TriedReply:
-        """Reply with the targets recorded for a key, and record the asked one, if any."""
-        known = list(self._targets.get(ask.key, []))
-        if ask.target and ask.target not in known:
-            self._targets[ask.key] = [*known, ask.target][-MAX_TARGETS:]
+        """Reply with the targets recorded for a key, and record the message's target, if any."""
+        recorded = list(self._targets.get(ask.key, []))
+        if ask.target and ask.target not in recorded:
+            self._targets[ask.key] = [*recorded, ask.target][-MAX_TARGETS:]
             self._targets.move_to_end(ask.key)
             if len(self._targets) > MAX_KEYS:
                 self._targets.popitem(last=False)
-        return TriedReply(known)
+        return TriedReply(recorded)
 
     async def collect(self, key: str) -> set[str]:
         """Return the targets that this process and its peers recorded for a key."""
@@ -51,11 +51,11 @@
         return await self._query_domain(TriedAsk(key, target))
 
     async def _query_domain(self, ask: TriedAsk) -> set[str]:
-        known = set(self.handle_ask(ask).targets)
+        recorded = set(self.handle_ask(ask).targets)
         replies = await asyncio.gather(
             *(self._ask_peer(peer, ask) for peer in self._list_live_peers())
         )
-        return known.union(*replies)
+        return recorded.union(*replies)
 
     async def _ask_peer(self, peer: ProcessId, ask: TriedAsk) -> set[str]:
         try:
