--- a/benchmarks/commands.py
+++ b/benchmarks/commands.py
@@ -12,7 +12,7 @@
 from benchmarks.report import report
 from benchmarks.sites import run_site
 from troutstand.generated.table import Target
-from troutstand.testing.score import take_percentile
+from troutstand.testing.score import compute_percentile
 from troutstand.testing.site import SERVICE, Site, SitePlan
 
 _COUNTER = itertools.count()
@@ -62,7 +62,7 @@
             report("commands", "median, of unguarded", ratio, "ratio", in_flight=in_flight)
             median_ms = statistics.median(ours) * 1000
             report("commands", "median", median_ms, "ms", in_flight=in_flight)
-            p95_ms = take_percentile(ours, 0.95) * 1000
+            p95_ms = compute_percentile(ours, 0.95) * 1000
             report("commands", "95th percentile", p95_ms, "ms", in_flight=in_flight)
             rate = len(ours) / seconds
             report("commands", "commands a second", rate, "1/s", in_flight=in_flight)
--- a/benchmarks/decider.py
+++ b/benchmarks/decider.py
@@ -187,7 +187,7 @@
     await listed.start()
     plan = RoutedPlan(gateways=0, keepers=1, schedulers=1, disks_lost=0, subnet=_SUBNET)
     site = RoutedSite(folder, plan, listed)
-    site.lay_out()
+    site.prepare()
     site.start_all()
     scheduler = site.list_role(RoutingRole.scheduler)[0]
     try:
--- a/benchmarks/faults.py
+++ b/benchmarks/faults.py
@@ -12,8 +12,8 @@
 from benchmarks.report import report
 from benchmarks.sites import run_site
 from troutstand.generated.table import Model
-from troutstand.testing.load import Load, Result
-from troutstand.testing.mixes import IRRIGATION, Drawer, Mix
+from troutstand.testing.load import LoadGenerator, Result
+from troutstand.testing.mixes import IRRIGATION, Mix, RequestSampler
 from troutstand.testing.score import CommandScore, count_refusals, score_commands
 from troutstand.testing.site import Site, SitePlan
 
@@ -104,7 +104,7 @@
 
 def _measure_outage(results: list[Result], commands: bool) -> float:
     """Return the longest span without a whole answer."""
-    ended = sorted(r.ended_s for r in results if r.own and r.drawn.is_command is commands)
+    ended = sorted(r.ended_s for r in results if r.is_correct and r.drawn.is_command is commands)
     return max((b - a for a, b in itertools.pairwise(ended)), default=0.0)
 
 
@@ -121,8 +121,8 @@
         is_relayed=True,
     )
     with run_site(plan) as site, ThreadPoolExecutor(1) as pool:
-        drawn = Drawer(_MIX, _SEED).draw(rate, seconds)
-        load = Load([site.callers[name] for name in site.entries], resends=5)
+        drawn = RequestSampler(_MIX, _SEED).draw(rate, seconds)
+        load = LoadGenerator([site.callers[name] for name in site.entries], max_resends=5)
         schedule = _Schedule(site, _SEED)
         future = pool.submit(schedule.run, time.monotonic() + seconds)
         results = asyncio.run(load.run(drawn))
@@ -137,7 +137,7 @@
 def _report(results: list[Result], schedule: _Schedule, behind: int, score: CommandScore) -> None:
     under = {"seed": _SEED, "faults": len(schedule.done)}
     ordinary = [r for r in results if not r.drawn.is_command]
-    wrong = sum(r.whole and not r.own for r in results)
+    wrong = sum(r.is_complete and not r.is_correct for r in results)
     report("faults", "commands sent", score.sent, "count", **under)
     report("faults", "commands done", score.done, "count", **under)
     report("faults", "commands run twice", score.ran_twice, "count", **under)
@@ -145,7 +145,9 @@
     report("faults", "answered commands that never ran", score.lost, "count", **under)
     report("faults", "commands refused as unknown", score.unknown, "count", **under)
     report("faults", "ordinary requests sent", len(ordinary), "count", **under)
-    report("faults", "ordinary requests whole", sum(r.own for r in ordinary), "count", **under)
+    report(
+        "faults", "ordinary requests whole", sum(r.is_correct for r in ordinary), "count", **under
+    )
     report("faults", "short or crossed answers taken as whole", wrong, "count", **under)
     report("faults", "accepted versions", schedule.accepted, "count", **under)
     report("faults", "processes that lost an accepted version", behind, "count", **under)
--- a/benchmarks/firstbytes.py
+++ b/benchmarks/firstbytes.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from troutstand.testing.score import take_percentile
+from troutstand.testing.score import compute_percentile
 
 _FIELD = re.compile(r'(\w+)=("[^"]*"|\S+)')
 _MILLISECONDS = 1000.0
@@ -83,7 +83,7 @@
 def describe(name: str, found: list[FirstByte]) -> str:
     """Return a line with the number of answers and the ratio's percentiles."""
     ratios = [first.ratio for first in found]
-    parts = [f"p{share * 100:g}={take_percentile(ratios, share):.2f}" for share in _SHARES]
+    parts = [f"p{share * 100:g}={compute_percentile(ratios, share):.2f}" for share in _SHARES]
     late = sum(first.is_late for first in found)
     return f"{name:12} answers={len(found)} late={late} {' '.join(parts)}"
 
--- a/benchmarks/floor.py
+++ b/benchmarks/floor.py
@@ -18,7 +18,7 @@
 from troutstand.generated.table import Protocol, Target
 from troutstand.testing.load import ChatCall, ChatCallMessage
 from troutstand.testing.ports import IP, pick_ports
-from troutstand.testing.score import take_percentile
+from troutstand.testing.score import compute_percentile
 from troutstand.testing.site import MODEL, Site, SitePlan, wait_for
 
 if TYPE_CHECKING:
@@ -121,5 +121,5 @@
     floor = asyncio.run(_measure(relay, 1, 1, seconds))[1]
     added_ms = (statistics.median(ours) - statistics.median(floor)) * 1000
     report("floor", "added median latency, one in flight", added_ms, "ms", entry=name)
-    p95_ms = (take_percentile(ours, 0.95) - take_percentile(floor, 0.95)) * 1000
+    p95_ms = (compute_percentile(ours, 0.95) - compute_percentile(floor, 0.95)) * 1000
     report("floor", "added 95th percentile, one in flight", p95_ms, "ms", entry=name)
--- a/benchmarks/sites.py
+++ b/benchmarks/sites.py
@@ -18,7 +18,7 @@
     """Start a site and stop it at the end."""
     with tempfile.TemporaryDirectory(prefix="troutstand-bench-") as folder:
         site = Site(Path(folder), plan)
-        site.lay_out()
+        site.prepare()
         try:
             site.start()
             for domain in sorted(set(site.domains.values())):
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -12,7 +12,7 @@
 from dataclasses import replace
 from pathlib import Path
 
-from troutstand.testing.ports import find_network
+from troutstand.testing.ports import reserve_network
 from troutstand.testing.soak.check import RolloutSeen, check_record
 from troutstand.testing.soak.run import Soak, SoakPlan
 
@@ -59,7 +59,7 @@
 
     async def play_one(number: int, seed: int) -> bool:
         async with gate:
-            subnet = f"{find_network()}.{number % 250}"
+            subnet = f"{reserve_network()}.{number % 250}"
             plan = replace(draft, seed=seed, subnet=subnet)
             return bool(await play(plan))
 
--- a/benchmarks/virtual.py
+++ b/benchmarks/virtual.py
@@ -16,8 +16,8 @@
 from troutstand.core.targetestimate import Running, TargetEstimate
 from troutstand.generated.messages import Finished, Grant, PlacementAsk, Preempt, Shed
 from troutstand.generated.table import Model, Protocol, Target, Tier, Workspace
-from troutstand.testing.mixes import Drawer, Drawn, Mix
-from troutstand.testing.score import take_percentile
+from troutstand.testing.mixes import DrawnRequest, Mix, RequestSampler
+from troutstand.testing.score import compute_percentile
 from troutstand.testing.site import MODEL
 
 if TYPE_CHECKING:
@@ -61,7 +61,7 @@
 class Job:
     """Follow one request."""
 
-    drawn: Drawn
+    drawn: DrawnRequest
     ask: PlacementAsk
     prefixes: Prefixes
     tier: Tier
@@ -106,7 +106,7 @@
     ]
 
 
-def _estimate_capacity(setup: Setup, drawn: list[Drawn]) -> float:
+def _estimate_capacity(setup: Setup, drawn: list[DrawnRequest]) -> float:
     """Return the requests a second that the slots decode or the prefills allow."""
     rows = make_rows(setup)
     answer = sum(item.answer_tokens * 0.6 for item in drawn) / max(1, len(drawn))
@@ -150,17 +150,17 @@
             self._step(kind, name)
         return list(self.jobs.values())
 
-    def _draw(self) -> list[Drawn]:
+    def _draw(self) -> list[DrawnRequest]:
         mix = self.setup.mix
-        probe = [d for d in Drawer(mix, 0).draw(100.0, 10.0) if not d.is_command]
+        probe = [d for d in RequestSampler(mix, 0).draw(100.0, 10.0) if not d.is_command]
         rate = _estimate_capacity(self.setup, probe) * self.setup.load
-        drawn = Drawer(mix, self.setup.seed).draw(rate, self.setup.duration_s)
+        drawn = RequestSampler(mix, self.setup.seed).draw(rate, self.setup.duration_s)
         return [item for item in drawn if not item.is_command]
 
     def _schedule(self, at_s: float, kind: str, name: str) -> None:
         heapq.heappush(self._events, (at_s, next(self._order), kind, name))
 
-    def _arrive_later(self, drawn: Drawn) -> None:
+    def _arrive_later(self, drawn: DrawnRequest) -> None:
         tier = next(tier for tier in TIERS if tier.name == drawn.tier)
         prefixes = hash_prefixes(MODEL, drawn.prompt)
         request = drawn.nonce
@@ -342,8 +342,10 @@
     for tier in TIERS:
         own = [job for job in jobs if job.tier is tier]
         good = sum(map(_is_good, own))
-        tiers.append(TierOutcome(tier.name, len(own), good, take_percentile(_get_first(own), 0.95)))
+        tiers.append(
+            TierOutcome(tier.name, len(own), good, compute_percentile(_get_first(own), 0.95))
+        )
     prompt = sum(job.ask.prompt_tokens for job in jobs)
     wasted = sum(job.missed if job.is_whole else job.computed for job in jobs)
-    first_p95_s = take_percentile(_get_first(jobs), 0.95)
+    first_p95_s = compute_percentile(_get_first(jobs), 0.95)
     return Outcome(tiers, first_p95_s, wasted / max(1, prompt), site.inversions)
--- a/benchmarks/worstload.py
+++ b/benchmarks/worstload.py
@@ -39,10 +39,10 @@
     return arrivals
 
 
-def measure(name: str, arrivals: list[Arrival], order: TierOrder, comes_back: bool) -> None:
+def measure(name: str, arrivals: list[Arrival], order: TierOrder, retries_refused: bool) -> None:
     """Play a load and print its processor time and what came of each kind."""
     began_s = time.process_time()
-    result = Replay(order, _ENGINES, comes_back=comes_back).play(arrivals)
+    result = Replay(order, _ENGINES, retries_refused=retries_refused).play(arrivals)
     took_s = time.process_time() - began_s
     kinds = " ".join(
         f"kind {kind}: {result.share(kind):.3f} in time, {result.late[kind]} late,"
@@ -55,9 +55,9 @@
 def main() -> None:
     """Play both loads by each order of tiers."""
     for order in TierOrder:
-        measure("recorded", read_arrivals(_TRACE), order, comes_back=False)
+        measure("recorded", read_arrivals(_TRACE), order, retries_refused=False)
     for order in TierOrder:
-        measure("drawn", draw_arrivals(3), order, comes_back=True)
+        measure("drawn", draw_arrivals(3), order, retries_refused=True)
 
 
 if __name__ == "__main__":
--- a/troutstand/testing/arrivals.py
+++ b/troutstand/testing/arrivals.py
@@ -30,9 +30,9 @@
 
     Parameters
     ----------
-    rest_s
+    backoff_s
         How long the target asked the gateway not to send; 0 where it took the request.
-    tells_leaving
+    is_leaving
         Whether the target's answer said that it leaves.
     born_ms
         When the target says that it was born; tells its lives apart.
@@ -43,14 +43,14 @@
     request: str
     target: str
     at_s: float
-    rest_s: float = 0.0
-    tells_leaving: bool = False
+    backoff_s: float = 0.0
+    is_leaving: bool = False
     born_ms: int = 0
     limit: str = ""
 
 
 @dataclass(frozen=True)
-class Naming:
+class LimitNotice:
     """Tell of an answer that named its target's limit, as written in requests a second."""
 
     request: str
@@ -60,7 +60,7 @@
 
 
 @dataclass(frozen=True)
-class OverLimit:
+class LimitViolation:
     """Tell of a window in which a target got more than its limit allows."""
 
     target: str
@@ -70,13 +70,13 @@
 
 
 @dataclass(frozen=True)
-class Crowded:
+class BackoffViolation:
     """Tell of a rest in which one gateway sent more than is allowed."""
 
     gateway: str
     target: str
-    asked_s: float
-    rest_s: float
+    started_s: float
+    backoff_s: float
     arrivals: int
 
 
@@ -103,39 +103,43 @@
     return grouped
 
 
-def find_crowded(
+def find_backoff_violations(
     arrivals: Iterable[Arrival], results: Mapping[str, CallResult], most: int = _MOST_IN_REST
-) -> list[Crowded]:
+) -> list[BackoffViolation]:
     """Return the rests in which a gateway sent more requests than it may."""
-    found: list[Crowded] = []
+    found: list[BackoffViolation] = []
     for sender, group in _group(arrivals, results).items():
-        for asked in (arrival for arrival in group if arrival.rest_s):
-            first_s, last_s = asked.at_s + _ON_ITS_WAY_S, asked.at_s + asked.rest_s
+        for asked in (arrival for arrival in group if arrival.backoff_s):
+            first_s, last_s = asked.at_s + _ON_ITS_WAY_S, asked.at_s + asked.backoff_s
             count = sum(1 for arrival in group if first_s < arrival.at_s < last_s)
             if count > most:
                 found.append(
-                    Crowded(sender.gateway, sender.target, asked.at_s, asked.rest_s, count)
+                    BackoffViolation(
+                        sender.gateway, sender.target, asked.at_s, asked.backoff_s, count
+                    )
                 )
     return found
 
 
-def find_late(
+def find_late_sends(
     arrivals: Iterable[Arrival], results: Mapping[str, CallResult], allowed_s: float
 ) -> list[Arrival]:
     """Return what was sent to a target by a gateway that knew for so long that it leaves."""
     found: list[Arrival] = []
     for group in _group(arrivals, results).values():
-        told_s = min((a.at_s for a in group if a.tells_leaving), default=float("inf"))
+        told_s = min((a.at_s for a in group if a.is_leaving), default=float("inf"))
         found += [a for a in group if results[a.request].began_s > told_s + allowed_s]
     return found
 
 
-def find_over_limit(
-    arrivals: Iterable[Arrival], namings: Iterable[Naming], results: Mapping[str, CallResult]
-) -> list[OverLimit]:
+def find_limit_violations(
+    arrivals: Iterable[Arrival],
+    limit_notices: Iterable[LimitNotice],
+    results: Mapping[str, CallResult],
+) -> list[LimitViolation]:
     """Return the windows in which targets got too much from gateways that knew their limit."""
-    named: dict[str, list[Naming]] = {}
-    for naming in namings:
+    named: dict[str, list[LimitNotice]] = {}
+    for naming in limit_notices:
         named.setdefault(naming.target, []).append(naming)
     came: dict[str, list[Arrival]] = {}
     for arrival in arrivals:
@@ -156,10 +160,10 @@
 
 
 def _find_over_limit(
-    spell: list[Arrival], namings: list[Naming], results: Mapping[str, CallResult]
-) -> list[OverLimit]:
+    spell: list[Arrival], limit_notices: list[LimitNotice], results: Mapping[str, CallResult]
+) -> list[LimitViolation]:
     from_s, to_s, limit = spell[0].at_s, spell[-1].at_s, spell[0].limit
-    told = [n for n in namings if from_s <= n.at_s <= to_s and n.limit == limit]
+    told = [n for n in limit_notices if from_s <= n.at_s <= to_s and n.limit == limit]
     settled_s = min((n.at_s for n in told), default=float("inf")) + _LIMIT_SETTLED_S
     knew_s: dict[str, float] = {}
     for naming in sorted(told, key=lambda naming: naming.at_s):
@@ -175,7 +179,7 @@
     ]
     allowed = int(_LIMIT_SHARE * float(limit) * _LIMIT_WINDOW_S) + _LIMIT_EXTRA
     return [
-        OverLimit(spell[0].target, from_s, count, allowed)
+        LimitViolation(spell[0].target, from_s, count, allowed)
         for from_s, count in _count_windows(times)
         if count > allowed
     ]
--- a/troutstand/testing/coldstart.py
+++ b/troutstand/testing/coldstart.py
@@ -23,7 +23,7 @@
 
 
 @dataclass
-class SchedulerBegun:
+class SimulatedScheduler:
     """Follow one scheduler that begins: which gateways ask it."""
 
     ready_s: float
@@ -47,7 +47,7 @@
 
 
 @dataclass
-class GatewayBegun:
+class SimulatedGateway:
     """Follow one gateway that begins: whom it watches and asks."""
 
     number: int
@@ -59,7 +59,7 @@
     coming: list[tuple[float, ProcessId, Attached]] = field(default_factory=list)
 
 
-class ColdStart:
+class ColdStartSimulation:
     """Play the first seconds of some gateways and schedulers.
 
     Parameters
@@ -71,14 +71,14 @@
     def __init__(self, seed: int, gateways: int, ready_s: list[float]) -> None:
         self._chance = random.Random(seed)
         self._schedulers = {
-            ProcessId(f"scheduler-{number}"): SchedulerBegun(at_s)
+            ProcessId(f"scheduler-{number}"): SimulatedScheduler(at_s)
             for number, at_s in enumerate(ready_s)
         }
         self._gateways = [self._begin(number) for number in range(gateways)]
 
-    def _begin(self, number: int) -> GatewayBegun:
+    def _begin(self, number: int) -> SimulatedGateway:
         uniform = self._chance.uniform
-        return GatewayBegun(
+        return SimulatedGateway(
             number,
             uniform(0.0, _WATCH_S),
             {name: SchedulerHealth() for name in self._schedulers},
@@ -95,7 +95,7 @@
             asked.append({str(name) for name in currents if not isinstance(name, LocalDecider)})
         return asked
 
-    def _step(self, gateway: GatewayBegun, now_s: float) -> None:
+    def _step(self, gateway: SimulatedGateway, now_s: float) -> None:
         for due in [c for c in gateway.coming if c[0] <= now_s]:
             gateway.coming.remove(due)
             gateway.watches[due[1]].update(due[2], now_s)
@@ -112,7 +112,7 @@
                 gateway.beats_s[name] = now_s + period_s * self._chance.uniform(0.9, 1.1)
                 self._beat(gateway, name, now_s)
 
-    def _judge(self, gateway: GatewayBegun, now_s: float) -> None:
+    def _judge(self, gateway: SimulatedGateway, now_s: float) -> None:
         decider = choose_decider(gateway.watches, gateway.current, now_s)
         if decider != gateway.current:
             gateway.current = decider
@@ -121,7 +121,7 @@
                 self._beat(gateway, decider, now_s)
         update_standby_periods(gateway.watches, gateway.current, now_s)
 
-    def _beat(self, gateway: GatewayBegun, name: ProcessId, now_s: float) -> None:
+    def _beat(self, gateway: SimulatedGateway, name: ProcessId, now_s: float) -> None:
         scheduler = self._schedulers[name]
         is_asked = gateway.current == name
         gateway.watches[name].is_attached = is_asked
@@ -135,12 +135,12 @@
         gateway.coming.append((came_s, name, scheduler.answer(now_s)))
 
 
-def measure_alone(asked: list[set[str]], ready_s: list[float]) -> float:
+def measure_local_s(asked: list[set[str]], ready_s: list[float]) -> float:
     """Return the seconds from the first scheduler that was ready to the first that was asked."""
     first = next(step for step, names in enumerate(asked) if names)
     return _STEP_S * first - min(ready_s)
 
 
-def measure_shared(asked: list[set[str]]) -> float:
+def measure_overlap_s(asked: list[set[str]]) -> float:
     """Return for how many seconds more than one scheduler was asked."""
     return _STEP_S * sum(1 for names in asked if len(names) > 1)
--- a/troutstand/testing/demo.py
+++ b/troutstand/testing/demo.py
@@ -11,13 +11,13 @@
 from cyclopts import App
 
 from troutstand.generated.control import ControlSettings, Process
-from troutstand.testing.load import Load, Result
-from troutstand.testing.mixes import MIXES, Drawer
+from troutstand.testing.load import LoadGenerator, Result
+from troutstand.testing.mixes import MIXES, RequestSampler
 from troutstand.testing.score import (
     count_refusals,
     score_commands,
+    score_prefill_waste,
     score_tiers,
-    score_waste,
 )
 from troutstand.testing.site import OPERATOR_TOKEN, Site
 
@@ -46,7 +46,7 @@
             f"{score.tier:10}{score.offered:9}{score.whole:9}{score.good:9}"
             f"{score.refused:9}{score.first_token_p95_s:10.3f} s"
         )
-    waste = score_waste(engines, results, site.plan.cache_tokens)
+    waste = score_prefill_waste(engines, results, site.plan.cache_tokens)
     print(f"wasted prefill: {waste.share:.3f} of {waste.prompt_tokens} prompt tokens")
     print("refusals:", count_refusals(results) or "none")
     commands = score_commands(results, services)
@@ -54,8 +54,8 @@
         f"commands: {commands.sent} sent, {commands.done} done, {commands.ran_twice} ran twice,"
         f" {commands.false_not_run} false 'not run', {commands.unknown} unknown"
     )
-    wrong = [r for r in results if r.whole and not r.own]
-    unanswered = [r for r in results if not r.own]
+    wrong = [r for r in results if r.is_complete and not r.is_correct]
+    unanswered = [r for r in results if not r.is_correct]
     print(f"answers that were not whole or not the caller's own: {len(wrong)}")
     promises = commands.ran_twice + commands.false_not_run + commands.lost
     return not wrong and not unanswered and promises == 0
@@ -65,15 +65,15 @@
 def run(*, mix: str = "irrigation", rate: float = 40.0, seconds: float = 8.0, seed: int = 1) -> int:
     """Run the demo; exit 0 only where every answer was whole and its caller's own."""
     site = Site(Path(tempfile.mkdtemp(prefix="troutstand-demo-")))
-    site.lay_out()
+    site.prepare()
     try:
         print("starting 3 entry processes, 1 keeper, 4 engines and 2 services")
         site.start()
         site.find_scheduler("north")
         control = write_control_settings(site)
-        drawn = Drawer(MIXES[mix], seed).draw(rate, seconds)
+        drawn = RequestSampler(MIXES[mix], seed).draw(rate, seconds)
         print(f"sending {len(drawn)} requests of the {mix} mix over {seconds:g} s, seed {seed}")
-        load = Load([site.callers[name] for name in site.entries])
+        load = LoadGenerator([site.callers[name] for name in site.entries])
         results = asyncio.run(load.run(drawn))
         in_order = _print_results(site, results)
     finally:
--- a/troutstand/testing/faultproxy.py
+++ b/troutstand/testing/faultproxy.py
@@ -7,13 +7,13 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from troutstand.testing.scripted import reset_connection
+from troutstand.testing.scriptedtarget import reset_connection
 
 _CHUNK = 1 << 16
 _HOLD_POLL_S = 0.02
 
 
-class Trouble(Enum):
+class FaultKind(Enum):
     """Say what a proxy does to bytes on one way."""
 
     NONE = "none"
@@ -22,10 +22,10 @@
 
 
 @dataclass
-class Way:
+class LinkFault:
     """Hold the trouble of one direction between two hosts."""
 
-    trouble: Trouble = Trouble.NONE
+    trouble: FaultKind = FaultKind.NONE
     delay_s: float = 0.0
 
 
@@ -43,7 +43,7 @@
 
     here: tuple[str, int]
     there: tuple[str, int]
-    _ways: dict[tuple[str, bool], Way] = field(default_factory=dict)
+    _ways: dict[tuple[str, bool], LinkFault] = field(default_factory=dict)
     _writers: set[asyncio.StreamWriter] = field(default_factory=set)
     _server: asyncio.Server | None = None
     _tasks: set[asyncio.Task[None]] = field(default_factory=set)
@@ -60,7 +60,7 @@
         for task in list(self._tasks):
             task.cancel()
 
-    def set_way(self, source: str, inward: bool, way: Way) -> None:
+    def set_link_fault(self, source: str, inward: bool, way: LinkFault) -> None:
         """Set the trouble of one direction; an empty source stands for every host."""
         self._ways[(source, inward)] = way
 
@@ -75,9 +75,9 @@
                 reset_connection(writer)
         self._writers.clear()
 
-    def _find_way(self, source: str, inward: bool) -> Way:
+    def _find_way(self, source: str, inward: bool) -> LinkFault:
         own = self._ways.get((source, inward))
-        return own or self._ways.get(("", inward)) or Way()
+        return own or self._ways.get(("", inward)) or LinkFault()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         source = writer.get_extra_info("peername")[0]
@@ -86,7 +86,7 @@
         self._tasks.add(own)
         own.add_done_callback(self._tasks.discard)
         # A silenced way takes the connection and says nothing, as a cut link does.
-        while self._find_way(source, True).trouble is Trouble.SILENCE:
+        while self._find_way(source, True).trouble is FaultKind.SILENCE:
             await asyncio.sleep(_HOLD_POLL_S)
         try:
             there_reader, there_writer = await asyncio.open_connection(*self.there)
@@ -112,9 +112,9 @@
         try:
             while data := await reader.read(_CHUNK):
                 way = self._find_way(source, inward)
-                if way.trouble is Trouble.DELAY:
+                if way.trouble is FaultKind.DELAY:
                     await asyncio.sleep(way.delay_s)
-                while self._find_way(source, inward).trouble is Trouble.SILENCE:
+                while self._find_way(source, inward).trouble is FaultKind.SILENCE:
                     await asyncio.sleep(_HOLD_POLL_S)
                 writer.write(data)
                 await writer.drain()
--- a/troutstand/testing/oddstreams.py
+++ b/troutstand/testing/faultystreams.py
@@ -11,16 +11,16 @@
 if TYPE_CHECKING:
     from troutstand.testing.standins import Head
 
-EVENTS = 4
+EVENT_COUNT = 4
 # What stands behind the last whole event where a stream ends within the next one.
-PART = b"id: 9"
+PARTIAL_EVENT = b"id: 9"
 _PAUSE_S = 0.9
 _PIECE_S = 0.03
 _EVENTS_TYPE = "text/event-stream"
 _CHUNKED = "Transfer-Encoding: chunked"
 
 
-class Oddity(Enum):
+class StreamFault(Enum):
     """Say what is odd about a site's event streams."""
 
     CUT_ONCE = "break off once"
@@ -32,10 +32,10 @@
     OTHER_CASE = "break off once and go on with the type in capitals"
 
 
-class OddStreams:
+class FaultyStreams:
     """Write the answers of a site's targets; the first of them differs from the others."""
 
-    def __init__(self, oddity: Oddity) -> None:
+    def __init__(self, oddity: StreamFault) -> None:
         self._oddity = oddity
         self._answers = 0
 
@@ -46,24 +46,24 @@
         request = head.headers["x-request-id"]
         events = self._make_events(request, head, is_first)
         match self._oddity:
-            case Oddity.ENDS_WITHIN_EVENT:
+            case StreamFault.ENDS_WITHIN_EVENT:
                 self._write_head(writer, target, request, framing="")
-                writer.write(events[0] + PART)
+                writer.write(events[0] + PARTIAL_EVENT)
                 await writer.drain()
                 return False
-            case Oddity.EMPTY_NEXT if not is_first:
+            case StreamFault.EMPTY_NEXT if not is_first:
                 self._write_head(writer, target, request, "204 No Content", framing="")
                 await writer.drain()
                 return True
-            case Oddity.OTHER_CASE if not is_first:
+            case StreamFault.OTHER_CASE if not is_first:
                 self._write_head(writer, target, request, kind="Text/Event-Stream")
             case _:
                 self._write_head(writer, target, request)
         await _write_chunk(writer, events[0])
-        if self._oddity is Oddity.PAUSE:
+        if self._oddity is StreamFault.PAUSE:
             await asyncio.sleep(_PAUSE_S)
         elif is_first:
-            await _write_chunk(writer, PART)
+            await _write_chunk(writer, PARTIAL_EVENT)
             return False
         await _write_chunk(writer, b"".join(events[1:]))
         writer.write(b"0\r\n\r\n")
@@ -72,9 +72,9 @@
 
     def _make_events(self, request: str, head: Head, is_first: bool) -> list[bytes]:
         resumed = int(head.headers.get("last-event-id") or 0)
-        after = 0 if self._oddity is Oddity.START_AGAIN else resumed
-        events = [make_event(request, number) for number in range(after + 1, EVENTS + 1)]
-        if self._oddity is Oddity.NO_IDS:
+        after = 0 if self._oddity is StreamFault.START_AGAIN else resumed
+        events = [make_event(request, number) for number in range(after + 1, EVENT_COUNT + 1)]
+        if self._oddity is StreamFault.NO_IDS:
             return [event.partition(b"\n")[2] for event in events]
         return events
 
--- a/troutstand/testing/load.py
+++ b/troutstand/testing/load.py
@@ -18,7 +18,7 @@
     from collections.abc import Sequence
 
     from troutstand.generated.settings import Address
-    from troutstand.testing.mixes import Drawn
+    from troutstand.testing.mixes import DrawnRequest
 
 _OK = 200
 _DONE = b"data: [DONE]"
@@ -64,41 +64,41 @@
     whole indeed and its own.
     """
 
-    drawn: Drawn
+    drawn: DrawnRequest
     sent_s: float
     first_token_s: float | None = None
     longest_gap_s: float = 0.0
     ended_s: float = 0.0
     status: int = 0
     refusal: ErrorBody | None = None
-    whole: bool = False
-    own: bool = False
-    broken: str = ""
-    sends: int = 1
+    is_complete: bool = False
+    is_correct: bool = False
+    connection_error: str = ""
+    attempts: int = 1
 
 
-def expect_answer(drawn: Drawn) -> str:
+def make_expected_answer(drawn: DrawnRequest) -> str:
     """Return the answer that the stand-in engine gives to a request."""
     return "".join(f"{drawn.nonce}-{number} " for number in range(drawn.answer_tokens))
 
 
 @dataclass
-class Load:
+class LoadGenerator:
     """Send drawn requests at their times to the entry processes in turn.
 
     Parameters
     ----------
-    resends
+    max_resends
         How often a command, or a request whose connection broke, is sent
         again with its key to the next entry process.
     """
 
     entries: Sequence[Address]
-    resends: int = 0
+    max_resends: int = 0
     results: list[Result] = field(default_factory=list)
     _turn: itertools.count[int] = field(default_factory=itertools.count)
 
-    async def run(self, drawn: list[Drawn]) -> list[Result]:
+    async def run(self, drawn: list[DrawnRequest]) -> list[Result]:
         """Send everything and return every result."""
         start_s = time.monotonic()
         connector = aiohttp.TCPConnector(limit=0)
@@ -114,37 +114,39 @@
         entry = self.entries[next(self._turn) % len(self.entries)]
         return f"http://{entry.ip}:{entry.port}"
 
-    async def _send(self, session: aiohttp.ClientSession, drawn: Drawn) -> Result:
+    async def _send(self, session: aiohttp.ClientSession, drawn: DrawnRequest) -> Result:
         result = Result(drawn, time.monotonic())
         while True:
-            result.broken, result.refusal = "", None
+            result.connection_error, result.refusal = "", None
             try:
                 if drawn.is_command:
                     await self._send_command(session, result)
                 else:
                     await self._send_chat(session, result)
             except (aiohttp.ClientError, OSError, TimeoutError) as error:
-                result.broken = type(error).__name__
+                result.connection_error = type(error).__name__
             if not self._should_resend(result):
                 break
-            result.sends += 1
+            result.attempts += 1
             await asyncio.sleep(_RESEND_S)
         result.ended_s = time.monotonic()
         self.results.append(result)
         return result
 
     def _should_resend(self, result: Result) -> bool:
-        if result.whole or result.sends > self.resends:
+        if result.is_complete or result.attempts > self.max_resends:
             return False
         refusal = result.refusal
-        return bool(result.broken) or (refusal is not None and refusal.retry_after_s is not None)
+        return bool(result.connection_error) or (
+            refusal is not None and refusal.retry_after_s is not None
+        )
 
     async def _send_chat(self, session: aiohttp.ClientSession, result: Result) -> None:
         drawn = result.drawn
         message = ChatCallMessage("user", drawn.prompt)
         body = msgspec.json.encode(ChatCall(MODEL, [message], drawn.answer_tokens))
         headers = {"Authorization": f"Bearer token-{drawn.workspace}"}
-        if self.resends:
+        if self.max_resends:
             headers["Idempotency-Key"] = f"chat-{drawn.nonce}"
         url = self._next_url() + "/v1/chat/completions"
         async with session.post(url, data=body, headers=headers) as response:
@@ -175,8 +177,10 @@
             if chunk.error:
                 result.refusal = chunk.error
             text += [c.delta.content or "" for c in chunk.choices if c.delta]
-        result.whole = done and result.refusal is None
-        result.own = result.whole and "".join(text) == expect_answer(result.drawn)
+        result.is_complete = done and result.refusal is None
+        result.is_correct = result.is_complete and "".join(text) == make_expected_answer(
+            result.drawn
+        )
 
     async def _send_command(self, session: aiohttp.ClientSession, result: Result) -> None:
         drawn = result.drawn
@@ -184,7 +188,7 @@
             "Authorization": f"Bearer token-{drawn.workspace}",
             "Idempotency-Key": f"command-{drawn.nonce}",
             "Content-Type": "text/plain",
-            "X-Attempt": str(result.sends),
+            "X-Attempt": str(result.attempts),
         }
         url = f"{self._next_url()}/services/{SERVICE}/valves/{drawn.nonce}/shut"
         async with session.post(url, data=drawn.nonce.encode(), headers=headers) as response:
@@ -193,5 +197,5 @@
             if response.status != _OK:
                 result.refusal = msgspec.json.decode(data, type=ErrorEnvelope).error
                 return
-            result.whole = True
-            result.own = drawn.nonce.encode() in data
+            result.is_complete = True
+            result.is_correct = drawn.nonce.encode() in data
--- a/troutstand/testing/mixes.py
+++ b/troutstand/testing/mixes.py
@@ -63,7 +63,7 @@
 
 
 @dataclass(frozen=True)
-class Drawn:
+class DrawnRequest:
     """Carry one drawn request."""
 
     at_s: float
@@ -75,7 +75,7 @@
     is_command: bool = False
 
 
-class Drawer:
+class RequestSampler:
     """Draw requests with Poisson arrivals from a seed."""
 
     def __init__(self, mix: Mix, seed: int) -> None:
@@ -83,9 +83,9 @@
         self._random = random.Random(seed)
         self._prefixes: dict[tuple[str, int], str] = {}
 
-    def draw(self, rate_per_s: float, duration_s: float) -> list[Drawn]:
+    def draw(self, rate_per_s: float, duration_s: float) -> list[DrawnRequest]:
         """Draw the requests of a span of time."""
-        drawn: list[Drawn] = []
+        drawn: list[DrawnRequest] = []
         at_s = 0.0
         while True:
             at_s += self._random.expovariate(rate_per_s)
@@ -93,16 +93,16 @@
                 return drawn
             drawn.append(self._draw_one(at_s))
 
-    def _draw_one(self, at_s: float) -> Drawn:
+    def _draw_one(self, at_s: float) -> DrawnRequest:
         nonce = f"{self._random.getrandbits(48):012x}"[:NONCE_CHARACTERS]
         if self._random.random() < self._mix.command_share:
-            return Drawn(at_s, nonce, "counter", "urgent", "", 0, is_command=True)
+            return DrawnRequest(at_s, nonce, "counter", "urgent", "", 0, is_command=True)
         classes = self._mix.classes
         kind = self._random.choices(classes, [item.weight for item in classes])[0]
         prefix = self._get_prefix(kind)
         tail = self._make_text(self._random.randint(*kind.tail_tokens))
         answer = self._random.randint(*kind.answer_tokens)
-        return Drawn(at_s, nonce, kind.workspace, kind.tier, prefix + tail + nonce, answer)
+        return DrawnRequest(at_s, nonce, kind.workspace, kind.tier, prefix + tail + nonce, answer)
 
     def _get_prefix(self, kind: RequestClass) -> str:
         number = min(int(self._random.paretovariate(0.8)) - 1, kind.prefixes - 1)
--- a/troutstand/testing/ports.py
+++ b/troutstand/testing/ports.py
@@ -24,7 +24,7 @@
 _FIRST_NETWORK, _LAST_NETWORK = 100, 250
 
 
-class Claims:
+class NumberLocks:
     """Claim numbers that no other test process has, for the life of this one.
 
     What is free now may be taken by another test process a second later: six that began
@@ -50,7 +50,7 @@
         return True
 
 
-_CLAIMS = Claims(Path(tempfile.gettempdir()) / "troutstand-tests")
+_CLAIMS = NumberLocks(Path(tempfile.gettempdir()) / "troutstand-tests")
 
 
 def _turn(first: int, last: int) -> Iterator[int]:
@@ -79,7 +79,7 @@
 
 
 @cache
-def find_network() -> int:
+def reserve_network() -> int:
     """Return the second number of the loopback network that only this test process uses."""
     networks = _turn(_FIRST_NETWORK, _LAST_NETWORK)
     return next(number for number in networks if _CLAIMS.claim("network", number))
--- a/troutstand/testing/rawcaller.py
+++ b/troutstand/testing/rawcaller.py
@@ -13,11 +13,11 @@
 
 
 @dataclass
-class RawAnswer:
+class RawResponse:
     """Hold one answer up to the end of its connection; `error` tells what could not be parsed."""
 
     request: str
-    heads: int = 0
+    response_count: int = 0
     status: int = 0
     body: bytes = b""
     is_complete: bool = False
@@ -35,7 +35,7 @@
 
     def on_message_begin(self) -> None:
         """Count answers."""
-        self.heads += 1
+        self.response_count += 1
 
     def on_headers_complete(self) -> None:
         """Take the status."""
@@ -50,7 +50,7 @@
         self.is_complete = True
 
 
-async def call_raw(callers: str, route: str, request: str, limit_s: float) -> RawAnswer:
+async def call_raw(callers: str, route: str, request: str, limit_s: float) -> RawResponse:
     """Send one request and read until the gateway closes the connection.
 
     Parameters
@@ -80,6 +80,6 @@
                 data += piece
     finally:
         writer.close()
-    answer = RawAnswer(request)
+    answer = RawResponse(request)
     answer.read(data)
     return answer
--- a/troutstand/testing/routedcaller.py
+++ b/troutstand/testing/routedcaller.py
@@ -24,7 +24,7 @@
 
     Parameters
     ----------
-    is_garbled
+    is_malformed
         Whether bytes came that are no HTTP; a connection that only ended has none.
     """
 
@@ -37,10 +37,10 @@
     began_s: float
     ended_s: float
     detail: str = ""
-    is_garbled: bool = False
+    is_malformed: bool = False
 
     @property
-    def took_s(self) -> float:
+    def duration_s(self) -> float:
         """Return how long the call took."""
         return self.ended_s - self.began_s
 
@@ -77,7 +77,7 @@
         url = f"http://{gateway.settings.callers}{route}x"
         began_s = time.monotonic()
         status, data, retry_after, detail = 0, b"", "", ""
-        is_garbled = False
+        is_malformed = False
         limit = aiohttp.ClientTimeout(total=deadline_s + _GRACE_S)
         try:
             async with self._session.request(
@@ -88,7 +88,7 @@
                 retry_after = response.headers.get("Retry-After", "")
         except aiohttp.ClientResponseError as error:
             # The client's parser stopped; what merely ends early is another error.
-            detail, is_garbled = f"{type(error).__name__}: {error}", True
+            detail, is_malformed = f"{type(error).__name__}: {error}", True
         except (aiohttp.ClientError, TimeoutError, OSError, RuntimeError) as error:
             detail = f"{type(error).__name__}: {error}"
         except asyncio.CancelledError:
@@ -105,7 +105,7 @@
                 began_s,
                 time.monotonic(),
                 detail,
-                is_garbled,
+                is_malformed,
             )
             self.results.append(result)
         return result
--- a/troutstand/testing/routedscene.py
+++ b/troutstand/testing/routedscene.py
@@ -49,7 +49,7 @@
     # Whether links can be harmed, through the proxies of the processes.
     is_proxied: bool = False
     proxies: dict[str, FaultProxy] = field(default_factory=dict)
-    odd_entries: list[bytes] = field(default_factory=list)
+    invalid_entries: list[bytes] = field(default_factory=list)
     background: BackgroundLoop = field(default_factory=BackgroundLoop)
     targets: list[StandInTarget] = field(default_factory=list)
 
@@ -67,7 +67,7 @@
         for target in self.targets:
             await target.start()
         self.list = StandInList(self.targets)
-        self.list.odd_entries = self.odd_entries
+        self.list.invalid_entries = self.invalid_entries
         await self.list.start()
         plan = RoutedPlan(
             gateways=self.gateways,
@@ -77,7 +77,7 @@
             protects_tiers=self.protects_tiers,
         )
         self.site = RoutedSite(self.folder, plan, self.list)
-        self.site.lay_out()
+        self.site.prepare()
         if self.is_proxied:
             self.proxies = await put_all_behind_proxies(self.site)
         self.site.start_all()
@@ -95,7 +95,7 @@
         await wait_until(self._is_told_everywhere, "every keeper tells the configuration")
 
     async def _is_told_everywhere(self) -> bool:
-        return None not in await read_all(self)
+        return None not in await read_configurations(self)
 
     def stop(self) -> None:
         """End what this scene started."""
@@ -117,7 +117,7 @@
         return [self.background.run(self.caller.call(g, route, b"x", key)) for g in gateways]
 
 
-async def read_all(scene: Scene) -> list[bytes | None]:
+async def read_configurations(scene: Scene) -> list[bytes | None]:
     """Return the configuration that each keeper tells."""
     keepers = [p for p in scene.site.list_role(RoutingRole.keeper) if p.is_running]
     return [await scene.site.read(scene.session, keeper.name) for keeper in keepers]
--- a/troutstand/testing/routedsite.py
+++ b/troutstand/testing/routedsite.py
@@ -98,7 +98,7 @@
         self._hosts += 1
         return f"127.{self.plan.subnet}.{self._hosts}"
 
-    def lay_out(self) -> None:
+    def prepare(self) -> None:
         """Write the settings of every process; the target list must listen already."""
         ips = [self._next_ip() for _ in range(self.plan.keepers)]
         self.seeds = [f"{ip}:{_CONTROL_PORT}" for ip in ips[:3]]
--- a/troutstand/testing/score.py
+++ b/troutstand/testing/score.py
@@ -35,7 +35,7 @@
 
 
 def _is_good(result: Result, tier: Tier) -> bool:
-    if not result.own or result.first_token_s is None:
+    if not result.is_correct or result.first_token_s is None:
         return False
     first_s = result.first_token_s - result.sent_s
     in_time = result.ended_s - result.sent_s <= tier.deadline_s
@@ -44,7 +44,7 @@
     )
 
 
-def take_percentile(values: list[float], share: float) -> float:
+def compute_percentile(values: list[float], share: float) -> float:
     """Return the value below which a share of the values lies."""
     ordered = sorted(values)
     return ordered[min(len(ordered) - 1, int(share * len(ordered)))] if ordered else 0.0
@@ -62,10 +62,10 @@
             TierScore(
                 tier=tier.name,
                 offered=len(own),
-                whole=sum(result.own for result in own),
+                whole=sum(result.is_correct for result in own),
                 good=sum(_is_good(result, tier) for result in own),
                 refused=sum(result.refusal is not None for result in own),
-                first_token_p95_s=take_percentile(first, 0.95),
+                first_token_p95_s=compute_percentile(first, 0.95),
             )
         )
     return scores
@@ -77,13 +77,13 @@
     for result in results:
         if result.refusal:
             counts[f"{result.refusal.number} {result.refusal.code} run={result.refusal.run}"] += 1
-        elif result.broken:
-            counts[f"broken {result.broken}"] += 1
+        elif result.connection_error:
+            counts[f"broken {result.connection_error}"] += 1
     return dict(sorted(counts.items()))
 
 
 @dataclass(frozen=True)
-class Waste:
+class PrefillWaste:
     """Tell how many prompt tokens were computed in vain."""
 
     prompt_tokens: int
@@ -108,9 +108,9 @@
     return [_Started(path.stem, record) for record in records if record.event == "started"]
 
 
-def score_waste(
+def score_prefill_waste(
     record_files: Iterable[Path], results: Iterable[Result], cache_tokens: int
-) -> Waste:
+) -> PrefillWaste:
     """Replay the engines' own records and count what was computed in vain.
 
     A token is wasted where a target held it in its cache and another computed
@@ -131,9 +131,9 @@
         record = item.record
         prompt += record.prompt_tokens
         computed += record.computed_tokens
-        wasted += record.computed_tokens if not result.own else 0
-        wasted += max(0, held - record.held_tokens) if result.own else 0
-    return Waste(prompt, computed, wasted)
+        wasted += record.computed_tokens if not result.is_correct else 0
+        wasted += max(0, held - record.held_tokens) if result.is_correct else 0
+    return PrefillWaste(prompt, computed, wasted)
 
 
 @dataclass(frozen=True)
@@ -148,7 +148,7 @@
     unknown: int
 
 
-def read_runs(record_files: Iterable[Path]) -> Counter[str]:
+def count_runs(record_files: Iterable[Path]) -> Counter[str]:
     """Count how often each command's body ran, by the services' own records."""
     runs: Counter[str] = Counter()
     for path in record_files:
@@ -159,14 +159,14 @@
 
 def score_commands(results: Iterable[Result], record_files: Iterable[Path]) -> CommandScore:
     """Compare what callers were told with what ran."""
-    runs = read_runs(record_files)
+    runs = count_runs(record_files)
     commands = [result for result in results if result.drawn.is_command]
     told_not_run = [r for r in commands if r.refusal is not None and r.refusal.run == "no"]
     return CommandScore(
         sent=len(commands),
-        done=sum(result.own for result in commands),
+        done=sum(result.is_correct for result in commands),
         ran_twice=sum(count > 1 for count in runs.values()),
         false_not_run=sum(runs[result.drawn.nonce] > 0 for result in told_not_run),
-        lost=sum(result.own and runs[result.drawn.nonce] == 0 for result in commands),
+        lost=sum(result.is_correct and runs[result.drawn.nonce] == 0 for result in commands),
         unknown=sum(r.refusal is not None and r.refusal.run == "unknown" for r in commands),
     )
--- a/troutstand/testing/scripted.py
+++ b/troutstand/testing/scriptedtarget.py
@@ -17,7 +17,7 @@
 _HEAD_END = b"\r\n\r\n"
 
 
-class Close(Enum):
+class AfterReply(Enum):
     """Say what the target does behind an answer's bytes."""
 
     KEEP = "keep"
@@ -33,12 +33,12 @@
     """Hold the bytes of one answer and what follows them."""
 
     data: bytes
-    close: Close = Close.KEEP
+    close: AfterReply = AfterReply.KEEP
     is_early: bool = False
 
 
 @dataclass
-class Received:
+class ReceivedRequest:
     """Hold one request as it came."""
 
     head: bytes
@@ -59,7 +59,7 @@
     """Answer the requests in their order with the replies given; the last one repeats."""
 
     replies: Sequence[Reply]
-    received: list[Received] = field(default_factory=list)
+    received: list[ReceivedRequest] = field(default_factory=list)
     address: str = ""
     _connections: int = 0
     _server: asyncio.Server | None = None
@@ -90,7 +90,7 @@
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, connection: int
     ) -> bool:
         head = (await reader.readuntil(_HEAD_END))[: -len(_HEAD_END)]
-        request = Received(head, b"", connection)
+        request = ReceivedRequest(head, b"", connection)
         length = int(request.find_header("content-length") or 0)
         self.received.append(request)
         reply = self._next_reply()
@@ -102,16 +102,16 @@
             writer.write(reply.data)
             await writer.drain()
         match reply.close:
-            case Close.KEEP:
+            case AfterReply.KEEP:
                 return True
-            case Close.SILENT:
+            case AfterReply.SILENT:
                 await reader.read()
-            case Close.GONE:
+            case AfterReply.GONE:
                 await self.stop()
                 reset_connection(writer)
-            case Close.RESET:
+            case AfterReply.RESET:
                 reset_connection(writer)
-            case Close.END:
+            case AfterReply.END:
                 pass
         return False
 
--- a/troutstand/testing/site.py
+++ b/troutstand/testing/site.py
@@ -80,7 +80,7 @@
     deadline_s: float = 30.0
     service_run_s: float = 0.002
     # How long the first service worker asks callers, whom it all turns away, to rest.
-    service_rest_s: float = 0.0
+    service_backoff_s: float = 0.0
     # The limit that the first service worker names, in requests a second; empty is not told.
     service_limit: str = ""
     is_relayed: bool = False
@@ -148,7 +148,7 @@
         """Return the names of the keeper processes."""
         return [f"{peer.host}.keeper" for peer in self.peers if peer.role is Role.keeper]
 
-    def lay_out(self) -> None:
+    def prepare(self) -> None:
         """Choose addresses and write every settings file."""
         self.folder.mkdir(parents=True, exist_ok=True)
         self._choose_peers()
@@ -278,7 +278,7 @@
             record_file=str(self.folder / f"{name}.records"),
             checks_keys=self.plan.checks_keys,
             run_s=self.plan.service_run_s,
-            rest_s=self.plan.service_rest_s if name.endswith("-0") else 0.0,
+            rest_s=self.plan.service_backoff_s if name.endswith("-0") else 0.0,
             limit=self.plan.service_limit if name.endswith("-0") else "",
         )
         self._add_stand_in(name, "service", msgspec.json.encode(settings))
--- a/troutstand/testing/soak/check.py
+++ b/troutstand/testing/soak/check.py
@@ -9,11 +9,15 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from troutstand.testing.arrivals import find_crowded, find_late, find_over_limit
+from troutstand.testing.arrivals import (
+    find_backoff_violations,
+    find_late_sends,
+    find_limit_violations,
+)
 from troutstand.testing.standins import make_body, make_event
 
 if TYPE_CHECKING:
-    from troutstand.testing.arrivals import Arrival, Naming
+    from troutstand.testing.arrivals import Arrival, LimitNotice
     from troutstand.testing.routedcaller import CallResult
     from troutstand.testing.standins import RunRecord
 
@@ -117,7 +121,7 @@
     reads: list[Read] = field(default_factory=list)
     drained: list[Drained] = field(default_factory=list)
     arrivals: list[Arrival] = field(default_factory=list)
-    namings: list[Naming] = field(default_factory=list)
+    limit_notices: list[LimitNotice] = field(default_factory=list)
     disturbed: list[Disturbed] = field(default_factory=list)
     limits: list[LimitBound] = field(default_factory=list)
     exits: list[str] = field(default_factory=list)
@@ -182,7 +186,7 @@
     wrong = [
         f"{call.request} {call.route} got what is no HTTP: {call.detail[:80]}"
         for call in record.calls
-        if call.is_garbled
+        if call.is_malformed
     ]
     for call in record.calls:
         if call.status != _OK:
@@ -221,9 +225,9 @@
 def _check_rests(record: SoakRecord) -> list[str]:
     results = {call.request: call for call in record.calls}
     return [
-        f"{rest.gateway} sent {rest.arrivals} to {rest.target} in {rest.rest_s:.1f} s of rest"
-        for rest in find_crowded(record.arrivals, results)
-        if not _was_disturbed(record, rest.gateway, rest.asked_s, rest.asked_s + rest.rest_s)
+        f"{rest.gateway} sent {rest.arrivals} to {rest.target} in {rest.backoff_s:.1f} s of rest"
+        for rest in find_backoff_violations(record.arrivals, results)
+        if not _was_disturbed(record, rest.gateway, rest.started_s, rest.started_s + rest.backoff_s)
     ]
 
 
@@ -232,10 +236,10 @@
     told_s = {
         (results[a.request].gateway, a.target, a.born_ms): a.at_s
         for a in reversed(record.arrivals)
-        if a.tells_leaving and a.request in results
+        if a.is_leaving and a.request in results
     }
     broken: list[str] = []
-    for late in find_late(record.arrivals, results, _DRAIN_S):
+    for late in find_late_sends(record.arrivals, results, _DRAIN_S):
         gateway = results[late.request].gateway
         since_s = told_s[gateway, late.target, late.born_ms]
         if not _was_disturbed(record, gateway, since_s, late.at_s):
@@ -256,7 +260,7 @@
     ]
     return [
         f"{over.target} got {over.count} in a window of its limit, {over.allowed} allowed"
-        for over in find_over_limit(undisturbed, record.namings, results)
+        for over in find_limit_violations(undisturbed, record.limit_notices, results)
     ]
 
 
--- a/troutstand/testing/soak/rollouts.py
+++ b/troutstand/testing/soak/rollouts.py
@@ -84,7 +84,7 @@
                 seen.service,
                 version=seen.version,
                 fault=fault,
-                own_fault=fault,
+                permanent_fault=fault,
                 seed=number,
             )
             await target.start()
--- a/troutstand/testing/soak/run.py
+++ b/troutstand/testing/soak/run.py
@@ -15,7 +15,7 @@
 from troutstand.generated.configuration import RoutedWorkspace
 from troutstand.generated.routing import RoutingRole
 from troutstand.testing.behindproxy import put_all_behind_proxies, put_behind_proxy
-from troutstand.testing.faultproxy import FaultProxy, Trouble, Way
+from troutstand.testing.faultproxy import FaultKind, FaultProxy, LinkFault
 from troutstand.testing.routedcaller import RoutedCaller
 from troutstand.testing.routedsite import (
     KEY,
@@ -105,7 +105,7 @@
             protects_tiers=True,
         )
         self.site = RoutedSite(self.folder, plan, self.list)
-        self.site.lay_out()
+        self.site.prepare()
         self.proxies = await put_all_behind_proxies(self.site)
         self.site.start_all()
         self.session = aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0))
@@ -131,7 +131,7 @@
             await target.crash()
             self.record.runs += target.runs
             self.record.arrivals += target.arrivals
-            self.record.namings += target.namings
+            self.record.limit_notices += target.limit_notices
         await self.list.stop()
 
     def _spawn(self, coroutine) -> asyncio.Task[None]:  # type: ignore[no-untyped-def]
@@ -346,14 +346,14 @@
         other = others[event.other % len(others)]
         # One time in three the whole host is cut off.
         source = "" if event.other % 3 == 0 else other.settings.bind_ip
-        trouble = Trouble.DELAY if event.kind is Kind.DELAY_LINK else Trouble.SILENCE
-        way = Way(trouble, 0.05 + event.length_s / 20)
-        proxy.set_way(source, True, way)
+        trouble = FaultKind.DELAY if event.kind is Kind.DELAY_LINK else FaultKind.SILENCE
+        way = LinkFault(trouble, 0.05 + event.length_s / 20)
+        proxy.set_link_fault(source, True, way)
         if event.kind is not Kind.CUT_ONE_WAY:
-            proxy.set_way(source, False, way)
+            proxy.set_link_fault(source, False, way)
         await asyncio.sleep(event.length_s)
-        proxy.set_way(source, True, Way())
-        proxy.set_way(source, False, Way())
+        proxy.set_link_fault(source, True, LinkFault())
+        proxy.set_link_fault(source, False, LinkFault())
 
     async def _configure(self, event: Event) -> None:
         version = next(self._versions)
--- a/troutstand/testing/soak/targets.py
+++ b/troutstand/testing/soak/targets.py
@@ -50,7 +50,7 @@
     is listed as draining all that time.
     """
     target.is_draining, from_s = True, time.monotonic()
-    target.tells_leaving = True
+    target.is_leaving = True
     target.drains += 1
     await asyncio.sleep(length_s)
     record.drained.append(Drained(target.target, from_s, time.monotonic()))
@@ -60,7 +60,7 @@
 
 
 def _begin_anew(target: StandInTarget) -> None:
-    target.is_draining = target.tells_leaving = False
+    target.is_draining = target.is_leaving = False
     # It never comes back within one life.
     target.born_ms = max(target.born_ms + 1, int(time.time() * 1000))
 
@@ -68,18 +68,18 @@
 async def _misbehave(target: StandInTarget, event: Event) -> None:
     fault = _FAULTS[event.other % len(_FAULTS)]
     if fault is Fault.SHED:
-        target.rest_s = event.length_s
+        target.backoff_s = event.length_s
     if fault in _IN_NEED:
         target.limit = f"{_LEAST_LIMIT + event.pick % _LIMITS / _LIMIT_STEPS:g}"
     target.fault = fault
     await asyncio.sleep(event.length_s)
-    target.fault = target.own_fault
+    target.fault = target.permanent_fault
     target.limit = ""
 
 
 def heal_target(target: StandInTarget) -> None:
     """Let a target serve as it should."""
-    target.fault = target.own_fault
+    target.fault = target.permanent_fault
     target.limit = ""
     if target.is_draining:
         _begin_anew(target)
--- a/troutstand/testing/standins.py
+++ b/troutstand/testing/standins.py
@@ -19,8 +19,8 @@
 
 from aiohttp import web
 
-from troutstand.testing.arrivals import Arrival, Naming
-from troutstand.testing.scripted import reset_connection
+from troutstand.testing.arrivals import Arrival, LimitNotice
+from troutstand.testing.scriptedtarget import reset_connection
 
 _HEAD_END = b"\r\n\r\n"
 _ELSEWHERE = b"HTTP/1.1 421 Elsewhere\r\nContent-Length: 0\r\n\r\n"
@@ -61,7 +61,7 @@
 
 
 @dataclass(frozen=True)
-class ContinuedAnswer:
+class ResumedResponse:
     """Say what a target answers to a request that goes on behind an event."""
 
     status: str
@@ -69,7 +69,7 @@
     body: bytes
 
 
-_FAILED = ContinuedAnswer("500 Fault", "text/plain", b"broken")
+_FAILED = ResumedResponse("500 Fault", "text/plain", b"broken")
 
 
 @dataclass
@@ -90,7 +90,7 @@
 
 
 # Writes the answer of a target, named first, and tells whether its connection is kept.
-Answerer = Callable[[str, Head, asyncio.StreamWriter], Awaitable[bool]]
+ResponseWriter = Callable[[str, Head, asyncio.StreamWriter], Awaitable[bool]]
 
 
 @dataclass
@@ -106,20 +106,20 @@
     event_s: float | None = None
     fault: Fault = Fault.NONE
     # How long a caller whom it turns away should leave it alone; 0 is not told.
-    rest_s: float = 0.0
+    backoff_s: float = 0.0
     # Whether its answers say that it leaves, whatever the list of targets shows.
-    tells_leaving: bool = False
+    is_leaving: bool = False
     # The limit that its answers name, in requests a second; empty is not told.
     limit: str = ""
     # When its answers named a limit.
-    namings: list[Naming] = field(default_factory=list)
+    limit_notices: list[LimitNotice] = field(default_factory=list)
     # What its software does wrong by itself, whatever else is switched on and off.
-    own_fault: Fault = Fault.NONE
-    continued: ContinuedAnswer | None = None
-    answerer: Answerer | None = None
+    permanent_fault: Fault = Fault.NONE
+    resumed_response: ResumedResponse | None = None
+    response_writer: ResponseWriter | None = None
     # The body that ends the process as it runs it; it is back after so many seconds, under
     # another name.
-    deadly_body: bytes = b""
+    crash_body: bytes = b""
     back_s: float = 1.5
     is_draining: bool = False
     # How many drains of it are under way.
@@ -141,8 +141,8 @@
     # Apart, so that which answers break off does not hang on who goes on with them.
     _resumed_random: random.Random = field(init=False)
     # When the deadly body came, run or not, and when the process ended under it.
-    deadly_s: list[float] = field(default_factory=list)
-    crashed_s: list[float] = field(default_factory=list)
+    crash_body_received_s: list[float] = field(default_factory=list)
+    crash_times_s: list[float] = field(default_factory=list)
     _restarts: set[asyncio.Task[None]] = field(default_factory=set)
 
     def __post_init__(self) -> None:
@@ -162,7 +162,7 @@
         return sum(1 for run in self.runs if run.request not in self.ended)
 
     async def _crash_for_a_while(self) -> None:
-        self.crashed_s.append(time.monotonic())
+        self.crash_times_s.append(time.monotonic())
         await self.crash()
         restart = asyncio.create_task(self._restart())
         self._restarts.add(restart)
@@ -170,7 +170,7 @@
 
     async def _restart(self) -> None:
         await asyncio.sleep(self.back_s)
-        self.target = f"{self.target.partition('@')[0]}@{len(self.crashed_s)}"
+        self.target = f"{self.target.partition('@')[0]}@{len(self.crash_times_s)}"
         await self.start()
 
     async def close(self) -> None:
@@ -205,41 +205,41 @@
             data = await reader.readuntil(_HEAD_END)
         head = parse_head(data[: -len(_HEAD_END)])
         body = await reader.readexactly(int(head.headers.get("content-length", 0)))
-        if self.deadly_body and body == self.deadly_body:
-            self.deadly_s.append(time.monotonic())
+        if self.crash_body and body == self.crash_body:
+            self.crash_body_received_s.append(time.monotonic())
         if head.headers.get("x-expected-target", self.target) != self.target:
             writer.write(_ELSEWHERE)
             return True
         if self.fault is Fault.SHED or self._waiting >= _QUEUE:
             self._turn_away(head, writer)
             return True
-        self._note_arrival(head, rest_s=0.0)
+        self._note_arrival(head, backoff_s=0.0)
         if self.fault is Fault.MUTE:
             await reader.read()
             return False
         return await self._work(head, body, reader, writer)
 
-    def _note_arrival(self, head: Head, rest_s: float) -> None:
+    def _note_arrival(self, head: Head, backoff_s: float) -> None:
         request = head.headers.get("x-request-id", "")
         now_s = time.monotonic()
         arrival = Arrival(
-            request, self.target, now_s, rest_s, self.tells_leaving, self.born_ms, self.limit
+            request, self.target, now_s, backoff_s, self.is_leaving, self.born_ms, self.limit
         )
         self.arrivals.append(arrival)
 
     def _turn_away(self, head: Head, writer: asyncio.StreamWriter) -> None:
-        self._note_arrival(head, self.rest_s)
-        rest = f"Retry-After: {self.rest_s:g}\r\n" if self.rest_s else ""
+        self._note_arrival(head, self.backoff_s)
+        rest = f"Retry-After: {self.backoff_s:g}\r\n" if self.backoff_s else ""
         own = self._tell_own(head.headers.get("x-request-id", ""))
         lines = f"HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\n{rest}{own}Content-Length: 0\r\n\r\n"
         writer.write(lines.encode())
 
     def _tell_own(self, request: str) -> str:
         """Return the headers in which it speaks of itself, in the answer to a request."""
-        leaving = "X-Target-Leaving: 1\r\n" if self.tells_leaving else ""
+        leaving = "X-Target-Leaving: 1\r\n" if self.is_leaving else ""
         if not self.limit:
             return leaving
-        self.namings.append(Naming(request, self.target, time.monotonic(), self.limit))
+        self.limit_notices.append(LimitNotice(request, self.target, time.monotonic(), self.limit))
         return f"{leaving}X-Target-Limit: {self.limit}\r\n"
 
     async def _work(
@@ -272,7 +272,7 @@
             self.ended[request] = "left"
             return False
         await _stop_watching(leaving)
-        if self.deadly_body and body == self.deadly_body:
+        if self.crash_body and body == self.crash_body:
             await self._crash_for_a_while()
             return False
         if self.fault is Fault.RESET and self._random.random() < 0.5:
@@ -302,13 +302,13 @@
         )
 
     async def _answer(self, head: Head, body: bytes, writer: asyncio.StreamWriter) -> bool:
-        if self.answerer is not None:
-            return await self.answerer(self.target, head, writer)
+        if self.response_writer is not None:
+            return await self.response_writer(self.target, head, writer)
         request = head.headers.get("x-request-id", "")
         is_resumed = "last-event-id" in head.headers
-        if self.continued is not None and is_resumed:
-            return await self._answer_continued(request, self.continued, writer)
-        is_cut_once = self.continued is not None
+        if self.resumed_response is not None and is_resumed:
+            return await self._answer_continued(request, self.resumed_response, writer)
+        is_cut_once = self.resumed_response is not None
         cuts = is_cut_once or (self.fault is Fault.CUT_ANSWERS and self._random.random() < 0.5)
         if cuts and is_resumed and self._resumed_random.random() < 0.5:
             return await self._answer_continued(request, _FAILED, writer)
@@ -332,7 +332,7 @@
         return True
 
     async def _answer_continued(
-        self, request: str, answer: ContinuedAnswer, writer: asyncio.StreamWriter
+        self, request: str, answer: ResumedResponse, writer: asyncio.StreamWriter
     ) -> bool:
         lines = [
             f"HTTP/1.1 {answer.status}",
@@ -394,7 +394,7 @@
         self.reads = 0
         self.is_down = False
         # Written as they are between the sound entries.
-        self.odd_entries: list[bytes] = []
+        self.invalid_entries: list[bytes] = []
         self._lag_s = lag_s
         self._history: deque[tuple[float, bytes]] = deque()
         self._runner: web.AppRunner | None = None
@@ -431,7 +431,7 @@
             for target in self.targets
         ]
         sound = [json.dumps(entry).encode() for entry in entries]
-        return b'{"targets":[' + b",".join([*self.odd_entries, *sound]) + b'],"next":null}'
+        return b'{"targets":[' + b",".join([*self.invalid_entries, *sound]) + b'],"next":null}'
 
     async def _answer(self, request: web.Request) -> web.Response:
         self.reads += 1
--- a/troutstand/testing/virtualload.py
+++ b/troutstand/testing/virtualload.py
@@ -29,8 +29,8 @@
 _SERVICE = "work"
 _TICK_S = 0.05
 _RETRY_BUDGET = (0.2, 50.0, 10.0)
-_FIRST_SHARE = 0.1
-_MOST_FIRST_S = 0.02
+_FIRST_BYTE_SHARE = 0.1
+_MAX_FIRST_BYTE_S = 0.02
 
 
 @dataclass(frozen=True)
@@ -39,22 +39,22 @@
 
     Parameters
     ----------
-    hold_s
+    slot_time_s
         How long the request keeps its slot.
-    repeats
+    max_retries
         How often the caller comes back after a refusal.
-    heeds
+    honors_retry_after
         Whether it comes back when it was told to, or at once.
     """
 
     at_s: float
     workspace: str
     tier: int
-    hold_s: float
+    slot_time_s: float
     objective_s: float
     deadline_s: float
-    repeats: int = 0
-    heeds: bool = False
+    max_retries: int = 0
+    honors_retry_after: bool = False
     silence_s: float = 0.0
 
 
@@ -142,19 +142,19 @@
 
     def _run(self, placed: Placed, outcome: JobOutcome, now_s: float) -> None:
         job = outcome.job
-        first_s = min(_MOST_FIRST_S, _FIRST_SHARE * job.hold_s)
+        first_s = min(_MAX_FIRST_BYTE_S, _FIRST_BYTE_SHARE * job.slot_time_s)
         outcome.first_s = now_s + first_s - job.at_s
         first = FirstByte(placed.request, placed.target, first_s)
-        ended = Ended(placed.request, placed.target, Ending.whole, first_s, job.hold_s)
+        ended = Ended(placed.request, placed.target, Ending.whole, first_s, job.slot_time_s)
         self._at(now_s + first_s, lambda at_s: self.dispatcher.record_first_byte(first, at_s))
-        self._at(now_s + job.hold_s, lambda at_s: self.dispatcher.finish(ended, at_s))
+        self._at(now_s + job.slot_time_s, lambda at_s: self.dispatcher.finish(ended, at_s))
 
     def _decline(self, declined: Declined, outcome: JobOutcome, now_s: float) -> None:
         outcome.refusals.append(declined)
         outcome.refused_s.append(now_s - outcome.job.at_s)
         job = outcome.job
-        if len(outcome.refusals) <= job.repeats:
-            pause_s = declined.retry_after_s if job.heeds else 0.0
+        if len(outcome.refusals) <= job.max_retries:
+            pause_s = declined.retry_after_s if job.honors_retry_after else 0.0
             self._at(now_s + pause_s, lambda at_s: self._come(outcome, at_s))
 
 
@@ -164,6 +164,6 @@
     return [Job(**{**vars(draft), "at_s": draft.at_s + number / per_s}) for number in range(count)]
 
 
-def measure_in_time(outcomes: list[JobOutcome]) -> float:
+def compute_in_time_share(outcomes: list[JobOutcome]) -> float:
     """Return the share of requests whose first byte came in time, 0 to 1."""
     return sum(outcome.is_in_time for outcome in outcomes) / max(1, len(outcomes))
--- a/troutstand/testing/worstload.py
+++ b/troutstand/testing/worstload.py
@@ -113,11 +113,11 @@
     """Play arrivals against engines that read prompts and write tokens at fixed speeds."""
 
     def __init__(
-        self, order: TierOrder, engines: int, seed: int = 1, comes_back: bool = False
+        self, order: TierOrder, engines: int, seed: int = 1, retries_refused: bool = False
     ) -> None:
         self.result = Result()
         self._order = order
-        self._comes_back = comes_back
+        self._comes_back = retries_refused
         self._random = random.Random(seed)
         self._dispatcher = Dispatcher(Quotas(QuotaBounds()), RetryBudget(*_RETRY_BUDGET))
         self._speeds = {f"t{n}": _SPEEDS[n % len(_SPEEDS)] for n in range(engines)}
--- a/troutstand/tests/environment.py
+++ b/troutstand/tests/environment.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
-from troutstand.testing.ports import find_network
+from troutstand.testing.ports import reserve_network
 from troutstand.testing.site import Site, SitePlan
 
 if TYPE_CHECKING:
@@ -36,13 +36,13 @@
 def next_subnet(context: Context) -> str:
     """Return loopback numbers that no other site of this or another run uses now."""
     context.shared.subnets += 1
-    return f"{find_network()}.{context.shared.subnets % 250}"
+    return f"{reserve_network()}.{context.shared.subnets % 250}"
 
 
 def start_site(context: Context, plan: SitePlan) -> Site:
     """Start a site for one scenario."""
     site = Site(make_folder(context), plan)
-    site.lay_out()
+    site.prepare()
     context.sites.append(site)
     site.start()
     return site
@@ -53,7 +53,7 @@
     if context.shared.site is None:
         plan = SitePlan(entries=(2,), engine_speeds=(1.0, 2.0), body_s=0.2)
         site = Site(make_folder(context), plan)
-        site.lay_out()
+        site.prepare()
         context.shared.site = site
         site.start()
         site.find_scheduler("north")
--- a/troutstand/tests/steps/begun.py
+++ b/troutstand/tests/steps/begun.py
@@ -16,10 +16,10 @@
 from troutstand.core.ids import ProcessId
 from troutstand.daemon.callerapi import CallerApi
 from troutstand.generated.routing import RoutingRole
-from troutstand.testing.oddstreams import EVENTS, PART, Oddity, OddStreams
-from troutstand.testing.rawcaller import RawAnswer, call_raw
+from troutstand.testing.faultystreams import EVENT_COUNT, PARTIAL_EVENT, FaultyStreams, StreamFault
+from troutstand.testing.rawcaller import RawResponse, call_raw
 from troutstand.testing.routedsite import wait_until
-from troutstand.testing.standins import ContinuedAnswer, make_event
+from troutstand.testing.standins import ResumedResponse, make_event
 from troutstand.tests.steps.routed import open_scene
 from troutstand.util.events import EventBus
 from troutstand.util.listening import write_full_response
@@ -42,11 +42,11 @@
     "an HTTP error": web.HTTPBadRequest(),
 }
 _ANSWERS = {
-    "500 with a text": ContinuedAnswer("500 Fault", _TEXT, b"broken"),
-    "503 that says that it ran": ContinuedAnswer("503 Fault", _TEXT, b"broken"),
-    "404 with a text": ContinuedAnswer("404 Not Found", _TEXT, b"unknown"),
-    "200 with a text": ContinuedAnswer("200 OK", _TEXT, b"other"),
-    "204 without a body": ContinuedAnswer("204 No Content", _TEXT, b""),
+    "500 with a text": ResumedResponse("500 Fault", _TEXT, b"broken"),
+    "503 that says that it ran": ResumedResponse("503 Fault", _TEXT, b"broken"),
+    "404 with a text": ResumedResponse("404 Not Found", _TEXT, b"unknown"),
+    "200 with a text": ResumedResponse("200 OK", _TEXT, b"other"),
+    "204 without a body": ResumedResponse("204 No Content", _TEXT, b""),
 }
 
 
@@ -54,7 +54,7 @@
 def open_continued(context: Context, answer: str) -> None:
     open_scene(context)
     for target in context.scene.targets:
-        target.continued = _ANSWERS[answer]
+        target.resumed_response = _ANSWERS[answer]
 
 
 @when("a stream of {route} is read to the end of its connection")
@@ -70,9 +70,9 @@
     _check_cut(context.answer, make_event(_REQUEST, 1))
 
 
-def _check_cut(answer: RawAnswer, body: bytes) -> None:
+def _check_cut(answer: RawResponse, body: bytes) -> None:
     assert not answer.error, answer
-    assert (answer.heads, answer.status) == (1, 200), answer
+    assert (answer.response_count, answer.status) == (1, 200), answer
     assert answer.body == body, answer
     assert not answer.is_complete, answer
 
@@ -95,9 +95,9 @@
 @given("a routed site with odd targets, which {oddity}")
 def open_odd(context: Context, oddity: str) -> None:
     open_scene(context)
-    streams = OddStreams(Oddity(oddity))
+    streams = FaultyStreams(StreamFault(oddity))
     for target in context.scene.targets:
-        target.answerer = streams.answer
+        target.response_writer = streams.answer
 
 
 @then("no event came twice, and half an event is not followed by the end of the answer")
@@ -105,19 +105,19 @@
     answer = context.answer
     *events, rest = answer.body.split(b"\n\n")
     assert not answer.error, answer
-    assert (answer.heads, answer.status) == (1, 200), answer
+    assert (answer.response_count, answer.status) == (1, 200), answer
     assert events, answer
     assert len(events) == len(set(events)), answer
-    assert not any(event.startswith(PART) for event in events), answer
+    assert not any(event.startswith(PARTIAL_EVENT) for event in events), answer
     assert not (rest and answer.is_complete), answer
 
 
 @then("the caller has read one head and every event and the end")
 def check_whole(context: Context) -> None:
     answer = context.answer
-    events = b"".join(make_event(_REQUEST, number) for number in range(1, EVENTS + 1))
+    events = b"".join(make_event(_REQUEST, number) for number in range(1, EVENT_COUNT + 1))
     assert not answer.error, answer
-    assert (answer.heads, answer.status) == (1, 200), answer
+    assert (answer.response_count, answer.status) == (1, 200), answer
     assert answer.body == events, answer
     assert answer.is_complete, answer
 
@@ -139,7 +139,7 @@
     return second
 
 
-async def _call_server(handler: Callable[..., Awaitable[web.StreamResponse]]) -> RawAnswer:
+async def _call_server(handler: Callable[..., Awaitable[web.StreamResponse]]) -> RawResponse:
     runner = web.ServerRunner(web.Server(handler, access_log=None))
     await runner.setup()
     await web.TCPSite(runner, "127.0.0.1", 0).start()
@@ -175,14 +175,14 @@
     context.app.router.add_post("/begun/x", begin_and_fail)
 
 
-async def _call_app(app: web.Application) -> RawAnswer:
+async def _call_app(app: web.Application) -> RawResponse:
     runner = web.AppRunner(app, access_log=None)
     await runner.setup()
     await web.TCPSite(runner, "127.0.0.1", 0).start()
     return await _call_runner(runner)
 
 
-async def _call_runner(runner: web.BaseRunner) -> RawAnswer:
+async def _call_runner(runner: web.BaseRunner) -> RawResponse:
     try:
         host, port = runner.addresses[0][:2]
         return await call_raw(f"{host}:{port}", "/begun/", _REQUEST, _LIMIT_S)
--- a/troutstand/tests/steps/control.py
+++ b/troutstand/tests/steps/control.py
@@ -29,7 +29,7 @@
 @given("the rows of a small site")
 def make_rows(context: Context) -> None:
     site = Site(make_folder(context), SitePlan(entries=(1,), engine_speeds=(1.0,)))
-    site.lay_out()
+    site.prepare()
     context.rows = site.rows
     context.folder = make_folder(context)
 
--- a/troutstand/tests/steps/crashers.py
+++ b/troutstand/tests/steps/crashers.py
@@ -42,7 +42,7 @@
     context.sites.append(scene)
     scene.open(next_subnet(context))
     for target in scene.targets:
-        target.deadly_body = DEADLY
+        target.crash_body = DEADLY
     scene.background.run(find_deciding(scene))
 
 
@@ -154,11 +154,11 @@
 @then("at most {most:d} of its arrivals come later than {after_s:g} s after its third target ended")
 def check_arrivals(context: Context, most: int, after_s: float) -> None:
     targets = context.scene.targets
-    crashed_s = sorted(at_s for target in targets for at_s in target.crashed_s)
-    assert len(crashed_s) > _THIRD, crashed_s
-    end_s = crashed_s[_THIRD] + after_s
-    late = [at_s for target in targets for at_s in target.deadly_s if at_s > end_s]
-    assert len(late) <= most, f"{len(late)} late arrivals, {len(crashed_s)} targets ended"
+    crash_times_s = sorted(at_s for target in targets for at_s in target.crash_times_s)
+    assert len(crash_times_s) > _THIRD, crash_times_s
+    end_s = crash_times_s[_THIRD] + after_s
+    late = [at_s for target in targets for at_s in target.crash_body_received_s if at_s > end_s]
+    assert len(late) <= most, f"{len(late)} late arrivals, {len(crash_times_s)} targets ended"
 
 
 @then("at least {share:g} of the sound calls are answered")
@@ -246,10 +246,10 @@
 @then("the deadly body is refused with {code:d} at each gateway and reaches no target")
 def check_refused(context: Context, code: int) -> None:
     scene = context.scene
-    before = sum(len(target.deadly_s) for target in scene.targets)
+    before = sum(len(target.crash_body_received_s) for target in scene.targets)
     results = _call_many(scene, _list_gateways(scene), _ROUTE)
     assert all(_is_quarantined(result) for result in results), results
-    assert sum(len(target.deadly_s) for target in scene.targets) == before
+    assert sum(len(target.crash_body_received_s) for target in scene.targets) == before
 
 
 @when("the deadly body is called {count:d} times at one gateway")
@@ -266,7 +266,7 @@
 
 @then("{count:d} targets have ended")
 def check_ended(context: Context, count: int) -> None:
-    ended = sum(len(target.crashed_s) for target in context.scene.targets)
+    ended = sum(len(target.crash_times_s) for target in context.scene.targets)
     assert ended == count, ended
 
 
--- a/troutstand/tests/steps/domaincrashes.py
+++ b/troutstand/tests/steps/domaincrashes.py
@@ -22,7 +22,7 @@
 from troutstand.generated.messages import RunningReport
 from troutstand.generated.table import Model, Tier, Workspace
 from troutstand.testing.engine import Fault
-from troutstand.testing.scripted import Close, Reply, ScriptedTarget
+from troutstand.testing.scriptedtarget import AfterReply, Reply, ScriptedTarget
 from troutstand.testing.site import MODEL, SitePlan
 from troutstand.tests.environment import start_site
 from troutstand.tests.steps.callers import make_chat
@@ -181,7 +181,7 @@
 def make_ending(context: Context) -> None:
     head = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nContent-Length: 100000\r\n\r\n"
     events = b"".join(_make_event(number) for number in range(3))
-    context.target = ScriptedTarget([Reply(head + events, Close.GONE)])
+    context.target = ScriptedTarget([Reply(head + events, AfterReply.GONE)])
 
 
 async def _read(target: ScriptedTarget) -> TroutstandError:
--- a/troutstand/tests/steps/domainrests.py
+++ b/troutstand/tests/steps/domainrests.py
@@ -51,7 +51,7 @@
 
 @given("a site whose first service worker turns calls away and asks for {rest_s:g} s of rest")
 def open_services(context: Context, rest_s: float) -> None:
-    context.site = start_site(context, SitePlan(services=3, service_rest_s=rest_s))
+    context.site = start_site(context, SitePlan(services=3, service_backoff_s=rest_s))
     context.site.find_scheduler("north")
 
 
--- a/troutstand/tests/steps/hardload.py
+++ b/troutstand/tests/steps/hardload.py
@@ -15,7 +15,7 @@
     Job,
     JobOutcome,
     VirtualLoad,
-    measure_in_time,
+    compute_in_time_share,
     spread_jobs,
 )
 
@@ -99,7 +99,7 @@
 
 @when("their callers come back once, when they are told to")
 def heed(context: Context) -> None:
-    context.jobs = [replace(job, repeats=1, heeds=True) for job in context.jobs]
+    context.jobs = [replace(job, max_retries=1, honors_retry_after=True) for job in context.jobs]
 
 
 @then("a third as many are refused twice as without the setting")
@@ -115,7 +115,7 @@
     plain = context.make_plain_load().play(context.jobs)
     unserved, before = (sum(o.first_s is None for o in played) for played in (outcomes, plain))
     assert unserved <= before / 2, (unserved, before)
-    assert measure_in_time(outcomes) >= measure_in_time(plain)
+    assert compute_in_time_share(outcomes) >= compute_in_time_share(plain)
 
 
 @then("each of them is served or refused within {within_s:g} s")
@@ -140,7 +140,7 @@
     own = _select(_play(context), tier)
     refused = sum(bool(outcome.refusals) for outcome in own)
     assert not refused, f"{refused} of {len(own)} refused"
-    assert measure_in_time(own) >= share, measure_in_time(own)
+    assert compute_in_time_share(own) >= share, compute_in_time_share(own)
 
 
 @then("all of tier {tier:d} that come {after_s:g} s after the first are in time")
@@ -208,7 +208,7 @@
 
 @then("{share:g} of the light workspace are in time")
 def check_light(context: Context, share: float) -> None:
-    found = measure_in_time(_select_workspace(_play(context), _LIGHT))
+    found = compute_in_time_share(_select_workspace(_play(context), _LIGHT))
     assert found >= share, found
 
 
@@ -237,7 +237,7 @@
 
 @then("all of them are served in time")
 def check_all(context: Context) -> None:
-    assert measure_in_time(_play(context)) == 1.0
+    assert compute_in_time_share(_play(context)) == 1.0
 
 
 # The queue's order
--- a/troutstand/tests/steps/harness.py
+++ b/troutstand/tests/steps/harness.py
@@ -20,8 +20,8 @@
 """
 _FIND = """
 import sys
-from troutstand.testing.ports import find_network
-print(find_network(), flush=True)
+from troutstand.testing.ports import reserve_network
+print(reserve_network(), flush=True)
 sys.stdin.read()
 """
 
--- a/troutstand/tests/steps/namedlimits.py
+++ b/troutstand/tests/steps/namedlimits.py
@@ -8,8 +8,8 @@
 from behave import given, then, when
 
 from troutstand.generated.routing import RoutingRole
-from troutstand.testing.arrivals import find_over_limit
-from troutstand.testing.faultproxy import Trouble, Way
+from troutstand.testing.arrivals import find_limit_violations
+from troutstand.testing.faultproxy import FaultKind, LinkFault
 from troutstand.testing.routedscene import Scene
 from troutstand.testing.routedsite import wait_until
 from troutstand.testing.standins import Fault
@@ -45,7 +45,9 @@
         name = await find_deciding(scene)
         gateway = scene.site.list_role(RoutingRole.gateway)[0]
         for inward in (True, False):
-            scene.proxies[name].set_way(gateway.settings.bind_ip, inward, Way(Trouble.SILENCE))
+            scene.proxies[name].set_link_fault(
+                gateway.settings.bind_ip, inward, LinkFault(FaultKind.SILENCE)
+            )
         await wait_until(lambda: _ask_two(scene), "the gateways ask two schedulers")
 
     scene.background.run(cut())
@@ -83,11 +85,11 @@
 
 @then("no target got more than its limit of {limit_per_s:g} requests a second allows")
 def check_limits(context: Context, limit_per_s: float) -> None:
-    namings = [naming for target in context.scene.targets for naming in target.namings]
-    assert namings, "no target named a limit"
-    limits = {float(naming.limit) for naming in namings}
+    limit_notices = [naming for target in context.scene.targets for naming in target.limit_notices]
+    assert limit_notices, "no target named a limit"
+    limits = {float(naming.limit) for naming in limit_notices}
     assert limits == {limit_per_s}, limits
-    over = find_over_limit(list_arrivals(context), namings, index_results(context))
+    over = find_limit_violations(list_arrivals(context), limit_notices, index_results(context))
     assert not over, f"{len(over)} windows: {over[:4]}"
 
 
@@ -113,6 +115,6 @@
     from_s = time.monotonic() - length_s
     refused = [r for r in context.calls if r.status in _REFUSALS and r.began_s > from_s]
     assert refused, "nobody was refused"
-    slow = [result for result in refused if result.took_s > most_s]
+    slow = [result for result in refused if result.duration_s > most_s]
     assert not slow, slow[:3]
     assert all(float(result.retry_after) > 0.0 for result in refused), refused[:3]
--- a/troutstand/tests/steps/relay.py
+++ b/troutstand/tests/steps/relay.py
@@ -18,7 +18,7 @@
 from troutstand.routing.eventstreams import EventBoundaryTracker, EventSplitter
 from troutstand.routing.httpclient import ConnectionPool
 from troutstand.routing.relay import OutgoingRequest, Sender, SendError
-from troutstand.testing.scripted import Close, Received, Reply, ScriptedTarget
+from troutstand.testing.scriptedtarget import AfterReply, ReceivedRequest, Reply, ScriptedTarget
 from troutstand.tests.steps.configuration import make_route
 
 if TYPE_CHECKING:
@@ -49,27 +49,27 @@
 _REPLIES: dict[str, list[Reply]] = {
     "in full": [_FULL],
     "in chunks": [Reply(make_answer(body=b"5\r\nhello\r\n0\r\n\r\n", framing=_CHUNKED))],
-    "without a length and ends": [Reply(make_answer(framing=""), Close.END)],
-    "without a length and resets": [Reply(make_answer(framing=""), Close.RESET)],
-    "short of its length and ends": [Reply(make_answer()[:-2], Close.END)],
+    "without a length and ends": [Reply(make_answer(framing=""), AfterReply.END)],
+    "without a length and resets": [Reply(make_answer(framing=""), AfterReply.RESET)],
+    "short of its length and ends": [Reply(make_answer()[:-2], AfterReply.END)],
     "with a chunk cut off": [
-        Reply(make_answer(body=b"5\r\nhello\r\n", framing=_CHUNKED), Close.END)
+        Reply(make_answer(body=b"5\r\nhello\r\n", framing=_CHUNKED), AfterReply.END)
     ],
     "for another request": [Reply(make_answer(request="request-0"))],
     "without the seal": [Reply(make_answer(seal=""))],
     "with an encoded body": [Reply(make_answer(extra="Content-Encoding: gzip\r\n"))],
-    "with bytes that are no answer": [Reply(b"\x00\x01rubbish\r\n\r\n", Close.END)],
+    "with bytes that are no answer": [Reply(b"\x00\x01rubbish\r\n\r\n", AfterReply.END)],
     "that it is full": [Reply(make_answer("503 Full", seal="X-Not-Run: 1\r\n", request=""))],
     "that it is somebody else": [Reply(b"HTTP/1.1 421 No\r\nContent-Length: 0\r\n\r\n")],
     "with 100 first": [Reply(b"HTTP/1.1 100 Continue\r\n\r\n" + make_answer())],
-    "nothing and resets": [Reply(b"", Close.RESET)],
+    "nothing and resets": [Reply(b"", AfterReply.RESET)],
     "twice, then in full": [Reply(make_answer() + make_answer(body=b"ghost")), _FULL],
     "in full, resets at the next request, then answers in full": [
         _FULL,
-        Reply(b"", Close.RESET),
+        Reply(b"", AfterReply.RESET),
         _FULL,
     ],
-    "in full, ends at the next request": [_FULL, Reply(b"", Close.GONE)],
+    "in full, ends at the next request": [_FULL, Reply(b"", AfterReply.GONE)],
     "that it is full and wants rest": [
         Reply(
             make_answer("503 Full", seal="X-Not-Run: 1\r\n", request="", extra="Retry-After: 2\r\n")
@@ -154,7 +154,7 @@
     pool.close()
 
 
-async def _wait_bodies(received: list[Received], lengths: list[int]) -> None:
+async def _wait_bodies(received: list[ReceivedRequest], lengths: list[int]) -> None:
     if len(received) != len(lengths):
         return
     async with asyncio.timeout(_LIMIT_S):
--- a/troutstand/tests/steps/resting.py
+++ b/troutstand/tests/steps/resting.py
@@ -10,7 +10,7 @@
 from behave import given, then, when
 
 from troutstand.generated.routing import RoutingRole
-from troutstand.testing.arrivals import find_crowded, find_late
+from troutstand.testing.arrivals import find_backoff_violations, find_late_sends
 from troutstand.testing.routedscene import Scene
 from troutstand.testing.standins import Fault
 from troutstand.tests.environment import make_folder, next_subnet
@@ -55,14 +55,14 @@
 @when("{count:d} {kind} turn requests away and ask for {rest_s:g} s of rest")
 def ask_for_rest(context: Context, count: int, kind: str, rest_s: float) -> None:
     for target in list_some(context, count, kind):
-        target.rest_s = rest_s
+        target.backoff_s = rest_s
         target.fault = Fault.SHED
 
 
 @when("{count:d} {kind} say in their answers that they leave")
 def tell_leaving(context: Context, count: int, kind: str) -> None:
     for target in list_some(context, count, kind):
-        target.tells_leaving = True
+        target.is_leaving = True
 
 
 @when("for {length_s:g} s {rate:d} calls a second of {route} are made")
@@ -94,9 +94,9 @@
 @then("no gateway sent more than {most:d} requests within a rest")
 def check_rests(context: Context, most: int) -> None:
     arrivals = list_arrivals(context)
-    assert any(arrival.rest_s for arrival in arrivals), "no target asked for rest"
-    crowded = find_crowded(arrivals, index_results(context), most)
-    turned_away = sum(1 for arrival in arrivals if arrival.rest_s)
+    assert any(arrival.backoff_s for arrival in arrivals), "no target asked for rest"
+    crowded = find_backoff_violations(arrivals, index_results(context), most)
+    turned_away = sum(1 for arrival in arrivals if arrival.backoff_s)
     assert not crowded, f"{turned_away} turned away, {len(crowded)} rests: {crowded[:4]}"
 
 
@@ -106,8 +106,8 @@
 )
 def check_left(context: Context, allowed_s: float) -> None:
     arrivals = list_arrivals(context)
-    assert any(arrival.tells_leaving for arrival in arrivals), "no target said that it leaves"
-    late = find_late(arrivals, index_results(context), allowed_s)
+    assert any(arrival.is_leaving for arrival in arrivals), "no target said that it leaves"
+    late = find_late_sends(arrivals, index_results(context), allowed_s)
     assert not late, f"{len(late)} late arrivals: {late[:4]}"
 
 
--- a/troutstand/tests/steps/routed.py
+++ b/troutstand/tests/steps/routed.py
@@ -165,7 +165,7 @@
 def check_went_on(context: Context, limit_s: int, most: int) -> None:
     results = context.scene.caller.results
     assert len(results) > 100, len(results)
-    slow = [r for r in results if r.took_s > limit_s]
+    slow = [r for r in results if r.duration_s > limit_s]
     failed = [r for r in results if r.status != 200]
     assert not slow, slow[:3]
     assert len(failed) <= most, failed[:5]
--- a/troutstand/tests/steps/routedcontrol.py
+++ b/troutstand/tests/steps/routedcontrol.py
@@ -12,7 +12,7 @@
 
 from troutstand.generated.configuration import RoutedWorkspace
 from troutstand.generated.routing import RoutingRole
-from troutstand.testing.routedscene import Scene, read_all
+from troutstand.testing.routedscene import Scene, read_configurations
 from troutstand.testing.routedsite import (
     KEY,
     ConfigurationPlan,
@@ -58,7 +58,7 @@
 
 @then("every keeper tells one and the same content under version {version:d}")
 def check_one(context: Context, version: int) -> None:
-    contents = set(context.scene.background.run(read_all(context.scene)))
+    contents = set(context.scene.background.run(read_configurations(context.scene)))
     assert len(contents) == 1, contents
     context.content = contents.pop()
     assert context.content in context.bodies
@@ -82,7 +82,7 @@
     scene = context.scene
     body = ConfigurationPlan(2).encode()
     assert scene.background.run(scene.site.write(scene.session, "keeper-3", body)) == 200
-    assert set(scene.background.run(read_all(scene))) == {context.content}
+    assert set(scene.background.run(read_configurations(scene))) == {context.content}
 
 
 @then("an invalid one is refused with {status:d} and the content stays")
@@ -90,7 +90,7 @@
     scene = context.scene
     for body in (b'{"version": 9', ConfigurationPlan(9, services=("work",)).encode()):
         assert scene.background.run(scene.site.write(scene.session, "keeper-3", body)) == status
-    assert set(scene.background.run(read_all(scene))) == {context.content}
+    assert set(scene.background.run(read_configurations(scene))) == {context.content}
 
 
 @then("every keeper tells version {version:d}")
@@ -99,7 +99,7 @@
     expected = ConfigurationPlan(version).encode()
 
     async def is_told() -> bool:
-        return set(await read_all(scene)) == {expected}
+        return set(await read_configurations(scene)) == {expected}
 
     scene.background.run(wait_until(is_told, f"every keeper tells version {version}"))
 
--- a/troutstand/tests/steps/routedload.py
+++ b/troutstand/tests/steps/routedload.py
@@ -136,7 +136,7 @@
 
 
 def _measure_in_time(calls: list[CallResult], within_s: float) -> float:
-    return sum(c.status == 200 and c.took_s <= within_s for c in calls) / len(calls)
+    return sum(c.status == 200 and c.duration_s <= within_s for c in calls) / len(calls)
 
 
 @then("{share:g} of the light workspace's calls are answered within {within_s:g} s")
--- a/troutstand/tests/steps/routedstartup.py
+++ b/troutstand/tests/steps/routedstartup.py
@@ -22,19 +22,19 @@
 _POLL_S = 0.05
 
 
-def lay_out(context: Context) -> RoutedSite:
+def prepare(context: Context) -> RoutedSite:
     """Lay out a site without starting it."""
     targets = StandInList([])
     targets.address = "127.0.0.1:80"
     plan = RoutedPlan(subnet=next_subnet(context))
     site = RoutedSite(make_folder(context), plan, targets)
-    site.lay_out()
+    site.prepare()
     return site
 
 
 def make_settings(context: Context, role: str) -> dict[str, Any]:
     """Make settings without a fault."""
-    process = lay_out(context).list_role(RoutingRole(role))[0]
+    process = prepare(context).list_role(RoutingRole(role))[0]
     plain = msgspec.to_builtins(process.settings)
     plain["seeds"] = plain["seeds"][:1]
     return plain
@@ -79,7 +79,7 @@
 
 @given("a routed gateway that runs")
 def run_gateway(context: Context) -> None:
-    site = lay_out(context)
+    site = prepare(context)
     context.sites.append(site)
     context.process = site.list_role(RoutingRole.gateway)[0]
     site.start(context.process.name)
--- a/troutstand/tests/steps/schedulerwatch.py
+++ b/troutstand/tests/steps/schedulerwatch.py
@@ -14,7 +14,7 @@
     choose_decider,
     update_standby_periods,
 )
-from troutstand.testing.coldstart import ColdStart, measure_alone, measure_shared
+from troutstand.testing.coldstart import ColdStartSimulation, measure_local_s, measure_overlap_s
 
 if TYPE_CHECKING:
     from behave.runner import Context
@@ -144,9 +144,9 @@
 @when("{gateways:d} gateways and schedulers that are ready after {ready} s begin in 50 draws")
 def begin_anew(context: Context, gateways: int, ready: str) -> None:
     ready_s = [float(at_s) for at_s in ready.split(", ")]
-    plays = [ColdStart(seed, gateways, ready_s).play(_PLAYED_S) for seed in range(_DRAWS)]
-    context.shared = [measure_shared(asked) for asked in plays]
-    context.alone = [measure_alone(asked, ready_s) for asked in plays]
+    plays = [ColdStartSimulation(seed, gateways, ready_s).play(_PLAYED_S) for seed in range(_DRAWS)]
+    context.shared = [measure_overlap_s(asked) for asked in plays]
+    context.alone = [measure_local_s(asked, ready_s) for asked in plays]
     assert all(len(asked[-1]) == 1 for asked in plays), "some ended with two schedulers"
 
 
--- a/troutstand/tests/steps/serving.py
+++ b/troutstand/tests/steps/serving.py
@@ -15,8 +15,8 @@
 from troutstand.generated.settings import Address
 from troutstand.generated.table import Model, Target, TargetState
 from troutstand.testing.engine import EngineRecord, EngineSettings, Fault
-from troutstand.testing.load import Load, Result
-from troutstand.testing.mixes import Drawn
+from troutstand.testing.load import LoadGenerator, Result
+from troutstand.testing.mixes import DrawnRequest
 from troutstand.testing.site import Site, SitePlan, wait_for
 from troutstand.tests.environment import start_site
 from troutstand.tests.steps.callers import make_chat
@@ -111,22 +111,24 @@
         set_fault(context.site, engine, fault)
 
 
-def draw(number: int, tokens: int, workspace: str = "counter", tier: str = "urgent") -> Drawn:
+def draw(
+    number: int, tokens: int, workspace: str = "counter", tier: str = "urgent"
+) -> DrawnRequest:
     """Make a request to send at once."""
     nonce = f"{number:012x}"
-    return Drawn(0.0, nonce, workspace, tier, _PROMPT + nonce, tokens)
+    return DrawnRequest(0.0, nonce, workspace, tier, _PROMPT + nonce, tokens)
 
 
-def run_load(site: Site, drawn: list[Drawn]) -> list[Result]:
+def run_load(site: Site, drawn: list[DrawnRequest]) -> list[Result]:
     """Send requests through all entry processes."""
-    load = Load([site.callers[name] for name in site.entries])
+    load = LoadGenerator([site.callers[name] for name in site.entries])
     return asyncio.run(load.run(drawn))
 
 
 @then("a streamed chat of {tokens:d} tokens is whole and its own")
 def assert_stream_own(context: Context, tokens: int) -> None:
     results = run_load(context.site, [draw(n, tokens) for n in range(2)])
-    assert all(result.own for result in results), results
+    assert all(result.is_correct for result in results), results
 
 
 @then("a streamed chat of {tokens:d} tokens is refused with {code:d}")
@@ -138,7 +140,7 @@
 @then("a streamed chat of {tokens:d} tokens ends in an error and a broken connection")
 def assert_broken(context: Context, tokens: int) -> None:
     (result,) = run_load(context.site, [draw(1, tokens)])
-    assert not result.whole and result.broken, result
+    assert not result.is_complete and result.connection_error, result
     assert result.refusal is not None and result.refusal.run == "unknown", result
 
 
@@ -199,7 +201,7 @@
 def drain_scheduler(context: Context, count: int) -> None:
     site = context.site
     context.victim = site.find_scheduler("north")
-    load = Load([site.callers[name] for name in site.entries])
+    load = LoadGenerator([site.callers[name] for name in site.entries])
     drawn = [draw(number, 200) for number in range(count)]
     with ThreadPoolExecutor(1) as pool:
         future = pool.submit(lambda: asyncio.run(load.run(drawn)))
@@ -211,7 +213,7 @@
 
 @then("every stream is whole and its own")
 def assert_streams(context: Context) -> None:
-    wrong = [result for result in context.results if not result.own]
+    wrong = [result for result in context.results if not result.is_correct]
     assert not wrong, wrong[:2]
 
 
--- a/troutstand/tests/steps/sites.py
+++ b/troutstand/tests/steps/sites.py
@@ -13,9 +13,9 @@
 
 from troutstand.control.client import AdminApiError, HttpResponse, fetch
 from troutstand.generated.table import Model
-from troutstand.testing.load import Load
-from troutstand.testing.mixes import IRRIGATION, Drawer
-from troutstand.testing.score import read_runs, score_commands
+from troutstand.testing.load import LoadGenerator
+from troutstand.testing.mixes import IRRIGATION, RequestSampler
+from troutstand.testing.score import count_runs, score_commands
 from troutstand.testing.site import MODEL, SERVICE, Site, SitePlan, wait_for
 from troutstand.tests.environment import start_site
 
@@ -68,7 +68,7 @@
 
 def count_runs(site: Site, key: str) -> int:
     """Count how often a command ran, by the services' own records."""
-    return read_runs(list_records(site, "-service-"))[key]
+    return count_runs(list_records(site, "-service-"))[key]
 
 
 def has_event(site: Site, process: str, event: str, detail: str = "") -> bool:
@@ -179,8 +179,8 @@
     site = get_site(context)
     names = [name for name in site.entries if site.domains[name] == domain]
     context.victim = site.find_scheduler(domain)
-    drawn = Drawer(IRRIGATION, SEED).draw(40.0, 3.0)
-    load = Load([site.callers[name] for name in names], resends=4)
+    drawn = RequestSampler(IRRIGATION, SEED).draw(40.0, 3.0)
+    load = LoadGenerator([site.callers[name] for name in names], max_resends=4)
     future = context.pool.submit(lambda: asyncio.run(load.run(drawn)))
     wait_for(lambda: len(load.results) >= len(drawn) // 4, "a quarter of the load")
     site.processes[context.victim].kill()
@@ -189,9 +189,9 @@
 
 @then("no answer that a caller took for whole was short or another's")
 def assert_own(context: Context) -> None:
-    wrong = [r for r in context.results if r.whole and not r.own]
+    wrong = [r for r in context.results if r.is_complete and not r.is_correct]
     assert not wrong, wrong
-    assert sum(r.own for r in context.results) > len(context.results) // 2
+    assert sum(r.is_correct for r in context.results) > len(context.results) // 2
 
 
 @then('no command ran twice and every "not run" is true')
--- a/troutstand/tests/steps/soak.py
+++ b/troutstand/tests/steps/soak.py
@@ -8,7 +8,7 @@
 
 from behave import given, then, when
 
-from troutstand.testing.arrivals import Arrival, Naming
+from troutstand.testing.arrivals import Arrival, LimitNotice
 from troutstand.testing.routedcaller import CallResult
 from troutstand.testing.soak.check import (
     Disturbed,
@@ -78,13 +78,13 @@
 
 
 def _rest(record: SoakRecord, arrivals: int) -> None:
-    _arrive(record, 10.0, rest_s=3.0)
+    _arrive(record, 10.0, backoff_s=3.0)
     for number in range(arrivals):
         _arrive(record, 11.0 + 0.1 * number)
 
 
 def _leave(record: SoakRecord, born_ms: int) -> None:
-    _arrive(record, 10.0, tells_leaving=True)
+    _arrive(record, 10.0, is_leaving=True)
     _arrive(record, 15.0, born_ms=born_ms)
 
 
@@ -94,7 +94,7 @@
     teller = record.calls[-1]
     if not knows:
         record.calls[-1] = replace(teller, gateway="gateway-2")
-    record.namings.append(Naming(teller.request, "t9", 10.0, "1"))
+    record.limit_notices.append(LimitNotice(teller.request, "t9", 10.0, "1"))
     for number in range(arrivals):
         _arrive(record, 11.5 + 0.2 * number, limit=limit)
 
@@ -117,7 +117,7 @@
             twice = make_event("c3", 1) + _make_stream("c3", range(1, 5))
             record.calls[2] = replace(record.calls[2], body=twice)
         case "an answer whose bytes are no HTTP":
-            record.calls[2] = replace(record.calls[2], status=0, is_garbled=True)
+            record.calls[2] = replace(record.calls[2], status=0, is_malformed=True)
         case "a run at a leaving target":
             record.calls.append(make_call("c6", "/get/", 200, make_body("c6", b"x"), 9.0))
             record.runs.append(make_run("c6", "t2", 9.0))
--- a/troutstand/tests/steps/startup.py
+++ b/troutstand/tests/steps/startup.py
@@ -18,10 +18,10 @@
 _HANG_S = 30
 
 
-def lay_out(context: Context) -> Site:
+def prepare(context: Context) -> Site:
     """Lay out a site without starting it."""
     site = Site(make_folder(context), SitePlan(entries=(2,), engine_speeds=(), services=0))
-    site.lay_out()
+    site.prepare()
     return site
 
 
@@ -43,7 +43,7 @@
 
 @given("the settings of an entry process with {fault}")
 def make_entry_settings(context: Context, fault: str) -> None:
-    site = lay_out(context)
+    site = prepare(context)
     context.settings = site.folder / "north-0.entry.json"
     plain = json.loads(context.settings.read_text())
     spoil(plain, fault)
@@ -52,7 +52,7 @@
 
 @given("the settings of a keeper whose data folder is another's")
 def make_foreign_folder(context: Context) -> None:
-    site = lay_out(context)
+    site = prepare(context)
     context.settings = site.folder / "north-0.keeper.json"
     site.format_disk("north-0.keeper")
     plain = json.loads(context.settings.read_text())
@@ -62,7 +62,7 @@
 
 @given("the settings of a keeper whose data folder is unformatted")
 def make_unformatted_folder(context: Context) -> None:
-    context.settings = lay_out(context).folder / "north-0.keeper.json"
+    context.settings = prepare(context).folder / "north-0.keeper.json"
 
 
 def run_daemon(context: Context, *flags: str) -> None:
--- a/troutstand/tests/steps/targetpages.py
+++ b/troutstand/tests/steps/targetpages.py
@@ -246,7 +246,7 @@
 @given("a routed site whose list holds {count:d} spoiled entries beside its targets")
 def open_spoiled(context: Context, count: int) -> None:
     odd = [b'{"target":"odd-1"}', b"17", b'{"target":"\xff"}'][:count]
-    scene = Scene(make_folder(context), odd_entries=odd)
+    scene = Scene(make_folder(context), invalid_entries=odd)
     context.scene = scene
     context.sites.append(scene)
     scene.open(next_subnet(context))
--- a/troutstand/tests/steps/trace.py
+++ b/troutstand/tests/steps/trace.py
@@ -18,8 +18,8 @@
 from troutstand.core.ids import CommandKey, Incarnation, ProcessId
 from troutstand.core.trace import MessageReceived, TraceStep, replay_trace
 from troutstand.generated.messages import Claim, Grant, Outcome, OutcomeKind
-from troutstand.testing.load import Load
-from troutstand.testing.mixes import DONOR, Drawer
+from troutstand.testing.load import LoadGenerator
+from troutstand.testing.mixes import DONOR, RequestSampler
 from troutstand.tests.environment import share_site
 
 if TYPE_CHECKING:
@@ -42,10 +42,10 @@
 def run_load(context: Context) -> None:
     site = context.site = share_site(context)
     context.scheduler = site.find_scheduler("north")
-    load = Load([site.callers[name] for name in site.entries])
+    load = LoadGenerator([site.callers[name] for name in site.entries])
     # On a busy machine fewer messages come one by one, so that one load may be too little.
     for seed in range(_SEED, _SEED + _MOST_LOADS):
-        asyncio.run(load.run(Drawer(DONOR, seed).draw(40.0, 2.0)))
+        asyncio.run(load.run(RequestSampler(DONOR, seed).draw(40.0, 2.0)))
         if replay_trace(read_trace(context))[0] > _LEAST_COMPARED:
             break
 
