--- a/tools/imports.py
+++ b/tools/imports.py
@@ -86,7 +86,7 @@
 
 
 def get_package(module: str) -> str:
-    """Return the top-level package of a module, such as troutstand.core."""
+    """Return the first two parts of a dotted name, such as troutstand.core."""
     return ".".join(module.split(".")[:2])
 
 
--- a/troutstand/control/main.py
+++ b/troutstand/control/main.py
@@ -83,9 +83,9 @@
         row = [item.process, item.failure_domain, item.state, f"{item.version}{behind}"]
         row += [str(item.epoch), item.scheduler or "-", str(item.running), str(item.waiting)]
         rows.append(row)
-    answered = {item.process for item in statuses}
+    reachable = {item.process for item in statuses}
     for process in client.admins:
-        if process not in answered:
+        if process not in reachable:
             rows.append([process, "-", "silent", "-", "-", "-", "-", "-"])
     print_columns(rows)
 
