--- a/troutstand/testing/score.py
+++ b/troutstand/testing/score.py
@@ -148,7 +148,7 @@
     unknown: int
 
 
-def count_runs(record_files: Iterable[Path]) -> Counter[str]:
+def count_command_runs(record_files: Iterable[Path]) -> Counter[str]:
     """Count how often each command's body ran, by the services' own records."""
     runs: Counter[str] = Counter()
     for path in record_files:
@@ -159,7 +159,7 @@
 
 def score_commands(results: Iterable[Result], record_files: Iterable[Path]) -> CommandScore:
     """Compare what callers were told with what ran."""
-    runs = count_runs(record_files)
+    runs = count_command_runs(record_files)
     commands = [result for result in results if result.drawn.is_command]
     told_not_run = [r for r in commands if r.refusal is not None and r.refusal.run == "no"]
     return CommandScore(
--- a/troutstand/tests/steps/sites.py
+++ b/troutstand/tests/steps/sites.py
@@ -15,7 +15,7 @@
 from troutstand.generated.table import Model
 from troutstand.testing.load import LoadGenerator
 from troutstand.testing.mixes import IRRIGATION, RequestSampler
-from troutstand.testing.score import count_runs, score_commands
+from troutstand.testing.score import count_command_runs, score_commands
 from troutstand.testing.site import MODEL, SERVICE, Site, SitePlan, wait_for
 from troutstand.tests.environment import start_site
 
@@ -68,7 +68,7 @@
 
 def count_runs(site: Site, key: str) -> int:
     """Count how often a command ran, by the services' own records."""
-    return count_runs(list_records(site, "-service-"))[key]
+    return count_command_runs(list_records(site, "-service-"))[key]
 
 
 def has_event(site: Site, process: str, event: str, detail: str = "") -> bool:
