--- a/troutstand/tests/reload.feature
+++ b/troutstand/tests/reload.feature
@@ -1,9 +1,6 @@
 Feature: A process lives on when it is told to read its settings again, whenever that is
 
-  # A gateway that had been killed and started again was told to read its settings again 0.3 s
-  # later and ended with signal 1: until its loop ran, which takes 0.4 s of processor time,
-  # nothing had taken the signal from the system's default, and so again once the loop was
-  # closed. Its log ends without a line; the callers that were sent there found nobody.
+  # A SIGHUP that arrives before the event loop runs or after it is closed must not end the process.
 
   Scenario Outline: A process that begins or ends is told to read its settings again
     Given a routed site with 2 engines and 2 plain targets
@@ -16,8 +13,8 @@
       | scheduler |
       | keeper    |
 
-  # Until the interpreter runs the first line of ours the signal has the system's default, which
-  # ends the process; a soak must not take that for an end of the process's own.
+  # Before the interpreter runs the program, SIGHUP has its default action and ends the process; the soak
+  # must not count this as a crash.
   Scenario: A soak tells a process that has just been started to reload once it can take it
     Given a routed site with 2 engines and 2 plain targets
     When a soak tells a gateway to reload as soon as it is started, 5 times
--- a/troutstand/tests/rest.feature
+++ b/troutstand/tests/rest.feature
@@ -1,6 +1,6 @@
 Feature: What targets say of themselves decides where requests go
 
-  # The same cause as in resting.feature, one decision at a time.
+  # Covers single decisions; resting.feature covers the same failure with whole processes.
 
   Background:
     Given a desk for 3 targets of 2 slots
@@ -67,8 +67,8 @@
     When t1 asks gateway-1 for 3 s of rest
     Then the service has no room to spare
 
-  # Targets that refuse without a time drew requests in the same way: two of five engines got
-  # 236 and 212 requests in vain on two days, since they had nothing running.
+  # A target that rejects requests without Retry-After has nothing running and must not attract
+  # further requests.
   Scenario Outline: A target that turns requests away without a time is avoided for longer each time
     When t1 turns <count> requests of gateway-1 away
     Then requests of gateway-2 go to t2, t3 only for <avoided> s
@@ -126,7 +126,7 @@
     When a gateway that attaches brings that t1 leaves and t2 wants 3 s of rest
     Then requests of that gateway go to t3 only for 2.9 s
 
-  # Gateways keep the same for themselves, since a decider may know less.
+  # A gateway also enforces both itself, since its scheduler may have older information.
 
   Scenario: A gateway keeps a rest and a leaving
     When the book hears that t1 wants 2 s of rest and t2 leaves
--- a/troutstand/tests/resting.feature
+++ b/troutstand/tests/resting.feature
@@ -1,13 +1,7 @@
 Feature: Targets that ask to be left alone
 
-  # Two of five engines turned every request away with 503 and asked each gateway for 3 s of
-  # rest. The gateways did not read that, and the scheduler held such an engine off for 50 ms.
-  # After that it had nothing running, so that it seemed the best choice of all: 3 s after an
-  # engine had turned a gateway away the scheduler logged "event=request_placed running=0
-  # expected_ms=18.4827 open=5" for it, the gateway 3 ms later "event=attempt_failed
-  # ending=turned_away status=503 arrivals=1", and again 3 ms later "arrivals=2" from the other
-  # one, while three engines answered whatever they got. 69 attempts were turned away in 7 s,
-  # and requests that have one attempt were refused 2 ms after they came.
+  # A target that rejects requests with 503 and Retry-After has nothing running and looks idle: without
+  # a pause it attracts further requests, which fail.
 
   Scenario: Engines that turn everything away are left alone as long as they ask
     Given a routed site with 5 engines and 2 plain targets
--- a/troutstand/tests/rollouts.feature
+++ b/troutstand/tests/rollouts.feature
@@ -66,8 +66,7 @@
     When 75 requests of route "a" and 25 of route "b" come and go
     Then targets of "v2" got 18 of route "a" and 6 of route "b"
 
-  # A service's next order was heard of before its decider followed it: it was rolled back
-  # 0.3 s after its acknowledgement by the answers of the bad version before it.
+  # Answers to the previous order's version must not roll back the order that follows it.
   Scenario: The answers of one order say nothing of the next
     Given a decider with 4 targets of "v1" and 4 of "v2", which is on trial
     And all answers of "v2" failed
--- a/troutstand/tests/routed.feature
+++ b/troutstand/tests/routed.feature
@@ -39,9 +39,7 @@
     When a gateway is told to stop while it answers a call
     Then its log tells of the call as cut, not as left
 
-  # Three to seven processes of a day were ended by the platform at the end of their 8 s: gateways
-  # that had "stop_ended left=1" or 2 in their logs after 7.52 s, and no "process_stopped". What
-  # was left got 0.4 s to end and 0.4 s more to be cancelled, of the 0.48 s that there were.
+  # A gateway whose calls outlast the drain must cancel them and exit before the platform kills it.
   Scenario: A gateway that must cut calls ends by itself in the time that it has
     Given a routed site whose targets work for 20 s and whose processes have 6 s to stop
     When a gateway is told to stop while it answers a call
@@ -97,10 +95,8 @@
     When all schedulers are killed at once
     Then every gateway decides alone within 0.4 s
 
-  # The gateway gave the count of a stream's events where the message holds its longest pause.
-  # So no decider ever learnt how long a target takes for a token: "request_placed" told
-  # token_ms=8, the guess, for every target of a day, also where a third of them took 4.4
-  # times as long as the others.
+  # Without the longest pause of a stream in the gateway's message, the scheduler assumes the default
+  # time per token for every target.
   Scenario: Whoever decides learns how fast each engine streams
     Given a routed site whose engines take 5 and 40 ms for a token
     When 24 calls of /stream/ are answered
--- a/troutstand/tests/routedload.feature
+++ b/troutstand/tests/routedload.feature
@@ -1,9 +1,7 @@
 Feature: A routed site of separate processes shares room that is short
 
-  # Two targets of 4 slots work for 0.2 s: 40 requests a second fit. At twice these rates, in
-  # order of due times, a light workspace had 0.21 to 0.39 of its requests in time, whoever
-  # decided, and 0.96 of what fits was answered, of which 0.05 may be lost. There the callers'
-  # own process binds on a busy machine.
+  # Two targets of 4 slots work for 0.2 s: 40 requests a second fit. At twice these rates the test
+  # processes themselves limit a busy machine.
   Scenario Outline: A light workspace is in time beside <floods> that flood, with a steady scheduler
     Given a routed site of 3 gateways that shares 2 plain targets of 0.2 s of work fairly
     When for 12 s a light workspace makes <light> calls a second beside <floods> of <per_s>, with a steady scheduler
@@ -25,8 +23,8 @@
       | schedulers killed in turn  | 0.85  |
       | no scheduler               | 0.75  |
 
-  # Two engines of 4 slots, streams of 4 s of the lower tier, twice what fits: 65 of 65 short
-  # requests of the higher tier were refused on arrival.
+  # Long streams of a lower tier that occupy all slots must not get short requests of a higher tier
+  # refused on arrival.
   Scenario: Short requests of a higher tier come in time behind long streams of a lower one
     Given a routed site whose 2 engines stream for 4 s and protect tiers
     When for 24 s 4 streams of the lower tier a second are called, and 5 of the higher from 3 s on
--- a/troutstand/tests/schedulerwatch.feature
+++ b/troutstand/tests/schedulerwatch.feature
@@ -24,11 +24,8 @@
     When a answers
     Then a gateway that asks a asks a
 
-  # A scheduler was frozen amid a burst, and 43 of 73 gateways moved to the next one within
-  # 0.4 s. It took them in, with what they brought and what had waited, for more than 0.3 s.
-  # 17 gateways found it silent meanwhile and moved to a third: for 1.5 s two schedulers filled
-  # the same targets, unheard of each other ("gateway_attached" of 23 gateways at the one and
-  # of 8 at the other in one tenth of a second, "asks another scheduler" 0.06 s later).
+  # A scheduler that is busy attaching many gateways at once must not look failed, or some gateways move
+  # on and two schedulers fill the same targets.
   Scenario: A scheduler that was just moved to is given time to take all gateways in
     Given schedulers a, b and c that answered 9, 0.6 and 0.1 s ago
     And b was moved to 0.6 s ago and has not answered for 0.6 s
@@ -110,10 +107,8 @@
     Then a gateway that asks a asks b
     And a gateway that decides alone asks b
 
-  # After a loss of all power schedulers were ready within 0.13 s of each other, and two had
-  # gateways (four and two) for 1.7 s: each gateway had taken the one that it heard first, and a
-  # scheduler is moved to only after it was live for 1.5 s. Both filled the same targets unheard
-  # of each other; a third of the calls of these seconds was refused or late.
+  # After a loss of all power gateways must not split between schedulers that start at the same time,
+  # or two schedulers fill the same targets.
   Scenario Outline: Gateways that all begin anew come to one scheduler at once
     When <gateways> gateways and schedulers that are ready after <ready> s begin in 50 draws
     Then two schedulers are asked for <mean> s in the mean and <most> s at most
--- a/troutstand/tests/soak.feature
+++ b/troutstand/tests/soak.feature
@@ -44,8 +44,7 @@
       | twelve runs at such a target over a restart of the gateway |
       | twelve runs at a target that names its limit no longer |
 
-  # Two drains of one target overlapped; the end of the first let it begin a new life, listed as
-  # ready, and three requests that it got then were counted against the second drain.
+  # The end of the first of two overlapping drains must not list the target as ready.
   Scenario: A target whose drains overlap is listed as draining until the last one ends
     When a target is drained for 0.4 s, and 0.2 s later for 0.6 s
     Then it is listed as draining at 0.6 s, and as ready in a new life after 0.8 s
--- a/troutstand/tests/succession.feature
+++ b/troutstand/tests/succession.feature
@@ -43,9 +43,7 @@
     When the same word is passed on with its age for 25 s
     Then the contact is forgotten
 
-  # An operator's call to form the first set that did not reach one of three keepers said
-  # "epoch 1 is not yet at c; repeat the call", and the call repeated was refused, since a and b
-  # "belong to a keeper set already": the operator was told what could not work.
+  # A call that reached only some of the keepers must be repeatable, as its error message advises.
   Scenario Outline: The call that forms the first set may be repeated
     When a set of a, b and c is formed where <before>
     Then <outcome>
--- a/troutstand/tests/takeover.feature
+++ b/troutstand/tests/takeover.feature
@@ -46,9 +46,8 @@
     When the slot gets free there
     Then the one that moved has it
 
-  # After a scheduler was frozen, one or two calls a time were refused by the next one with
-  # "waited_s=0.000 expected_s=0.010 queue=2": they had spent 0.32 s of 0.4 s, not enough to
-  # count as late by that, and too much for the 10 ms that a place would have taken.
+  # A request with little of its objective left must not be refused because of a wait of some
+  # milliseconds after a change of scheduler.
   Scenario: A request that moves nearly late is not refused for a short wait
     Given a scheduler whose only slot is taken and gets free every 0.1 s
     When a request moves there with 0.25 of 0.4 s spent
@@ -78,9 +77,8 @@
       | decides alone          | another    | 3     |
       | asks another scheduler | another    | 0     |
 
-  # At 301 hosts before 3,000 targets the deciding scheduler passed its memory of 296 MB three
-  # times, and a leaving was heeded 5.4 s after the list showed it. Each change of one target sent
-  # the whole list, 0.3 MB, to each of 270 gateways with its next heartbeat.
+  # A change of one target must not send the whole list to every gateway, which exhausts the scheduler's
+  # memory and delays the news of a draining target.
   Scenario: A change of one target of many costs each gateway little
     Given a scheduler that knows 3000 targets
     And 270 gateways that ask it and hold its list
@@ -107,10 +105,8 @@
     When all send a heartbeat
     Then they are told less than 0.01 MB in all, and all hold its list again
 
-  # A scheduler stood still, and its gateways moved to the next one after 0.4 s with 12 requests
-  # whose objective of 0.4 s was spent by then. All were refused there after 0.312 s ("3001
-  # waited_s=0.312 expected_s=0.116 queue=12"), on a busy machine, since they had waited twice
-  # their objective in all, though their callers had 2 s left and places came free.
+  # Requests that spent their objective at a failed scheduler must not all be refused by the next one
+  # while their callers still wait.
   Scenario: A request that spent its objective elsewhere may wait here like any late one
     Given a scheduler whose only slot is taken
     When a request moves there with 0.5 of 0.4 s spent
--- a/troutstand/tests/worstload.feature
+++ b/troutstand/tests/worstload.feature
@@ -1,8 +1,7 @@
 Feature: Under the worst recorded load the higher kinds of requests are served first
 
-  # Ten seconds recorded at 73 gateways: 9,785 requests in three bursts, a fifth of
-  # the highest kind and half of the lowest, while a quarter of 45 engines of four slots is dark and a third is
-  # 4.4 times slower than the others.
+  # Ten seconds recorded at 73 gateways: three bursts of requests, a fifth of the highest kind and half of
+  # the lowest, while a quarter of the 45 engines is down and a third is 4.4 times slower than the others.
 
   Scenario: Higher kinds are refused last, whatever their workspace
     When the recorded load is replayed
@@ -22,9 +21,7 @@
   Scenario: The settings and the calls agree on the order of tiers
     Then a process without the setting ranks by the same order as a call without one
 
-  # With 266 requests waiting and 15 open engines that suited none of them one look at all took
-  # 17 ms, every 50 ms, on a decider that has two thirds of a processor: it made half of the
-  # decisions of the second before, in turns of 25 to 48 ms.
+  # Repeated scans of a long queue over many open targets must not use up the scheduler's processor time.
   Scenario: Those that wait for better targets do not hold up the decisions
     Given 266 requests wait, and 15 engines are open that suit none of them
     When 10 ticks pass
@@ -36,9 +33,7 @@
     When a request that suits them comes last
     Then it has an engine within 5 ticks
 
-  # Each first byte and each end made the decider look at the first 8 of the queue and all open
-  # engines, which nothing had happened to: with 15 of them 0.46 ms each, so that 700 ends and
-  # 700 first bytes a second take two thirds of a processor, which is all that a decider has.
+  # A first byte or an end at one target must not cause a scan of all the other open targets.
   Scenario: What happens at one engine makes nobody look at the others again
     Given 266 requests wait, and 15 engines are open that suit none of them
     When a request begins to answer at one of the open engines, and one ends there
