--- a/troutstand/testing/models/catalogue.py
+++ b/troutstand/testing/models/catalogue.py
@@ -49,7 +49,7 @@
         "command, sent three times and numbered": CommandModel((1, 2, 3)).make_spec(),
         "edit, three operators": EditModel(operators).make_spec(),
         "lease, one keeper, longer": LeaseModel(keepers=("k0",), end_s=5).make_spec(),
-        "succession, two with_prepare": RivalReplacementModel().make_spec(),
+        "succession, two rivals": RivalReplacementModel().make_spec(),
         "rollout, longer": RolloutModel(decider_count=2, end_s=4).make_spec(),
     }
 
