--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -13,19 +13,22 @@
 from pathlib import Path
 
 from troutstand.testing.ports import reserve_network
-from troutstand.testing.soak.check import RolloutSeen, check_record
+from troutstand.testing.soak.check import RolloutRecord, check_record
 from troutstand.testing.soak.run import Soak, SoakPlan
 
 _SEED_BITS = 31
 _KEPT = Path(".soak")
 
 
-def describe(seen: RolloutSeen) -> str:
+def describe(rollout: RolloutRecord) -> str:
     """Return one line on a rollout."""
-    quality = "bad" if seen.is_bad else "good"
-    took_s = seen.ended_s - seen.acknowledged_s
-    end = seen.end or "no end yet"
-    return f"{seen.service} {seen.version} ({quality}): {end} after {took_s:.1f} s, cut {seen.cut}"
+    quality = "bad" if rollout.is_faulty else "good"
+    took_s = rollout.ended_s - rollout.acknowledged_s
+    end = rollout.final_state or "no end yet"
+    return (
+        f"{rollout.service} {rollout.version} ({quality}): {end} after {took_s:.1f} s, "
+        f"cut {rollout.aborted_count}"
+    )
 
 
 async def play(plan: SoakPlan) -> list[str]:
@@ -46,8 +49,8 @@
     calls = soak.record.calls
     served = sum(call.status == 200 for call in calls)
     print(f"seed={plan.seed} calls={len(calls)} served={served} broken={len(broken)}", flush=True)
-    for seen in soak.record.rollouts:
-        print(f"    {describe(seen)}", flush=True)
+    for rollout in soak.record.rollouts:
+        print(f"    {describe(rollout)}", flush=True)
     for line in broken[:5]:
         print(f"    {line}", flush=True)
     return broken
@@ -82,8 +85,8 @@
     began_s = time.monotonic()
     draft = SoakPlan(
         seed=0,
-        length_s=arguments.seconds,
-        per_s=arguments.per_s,
+        duration_s=arguments.seconds,
+        faults_per_s=arguments.per_s,
         gateways=arguments.gateways,
         rollouts=arguments.rollouts,
     )
--- a/troutstand/testing/soak/__init__.py
+++ b/troutstand/testing/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Soak a routed site of real processes in seeded faults, and check its promises."""
+"""Run a routed site of real processes under seeded faults and check its guarantees."""
--- a/troutstand/testing/soak/check.py
+++ b/troutstand/testing/soak/check.py
@@ -1,6 +1,6 @@
-"""Check a soak's record for broken promises.
+"""Check the record of a soak for violated guarantees.
 
-Only what callers, operators and targets saw is looked at.
+The checks use only what callers, operators and targets observe.
 """
 
 from __future__ import annotations
@@ -21,44 +21,44 @@
     from troutstand.testing.routedcaller import CallResult
     from troutstand.testing.standins import RunRecord
 
-REFUSALS = (408, 421, 429, 503)
-_DRAIN_S = 4.0
-# For so long after a freeze or a restart a process may act on what it held before, in seconds.
-_SETTLED_S = 0.5
-# A target names its limit for at most so long in a soak, in seconds.
-_KNOWN_S = 4.0
-_READ_SLACK_S = 2.5
+REJECTION_STATUSES = (408, 421, 429, 503)
+_DRAIN_TIMEOUT_S = 4.0
+# A process may act on stale state for this time after a suspension or a restart.
+_DISRUPTION_MARGIN_S = 0.5
+# Longest time for which a target announces its limit.
+_LIMIT_MAX_AGE_S = 4.0
+_READ_MAX_LAG_S = 2.5
 _OK = 200
-_SERVED_SHARE = 0.9
-# After a version was told to be rolled back it gets nothing more within this time.
-_ROLLBACK_S = 5.0
-# An order ends within so long of its acknowledgement, faults and recovery included.
-_ROLLOUT_S = 40.0
+_MIN_SERVED_SHARE = 0.9
+# A version receives no request later than this after its rollback.
+_ROLLBACK_TIMEOUT_S = 5.0
+# An acknowledged order ends within this time, including faults and recovery.
+_ROLLOUT_TIMEOUT_S = 40.0
 
 
 @dataclass(frozen=True)
-class Sent:
-    """Tell of one configuration sent; status 0 stands for no clear answer."""
+class ConfigurationWrite:
+    """Record one write of a configuration; status 0 is an unknown outcome."""
 
     version: int
     content: bytes
-    began_s: float
+    started_s: float
     ended_s: float
     status: int
 
 
 @dataclass(frozen=True)
-class Read:
-    """Tell of one configuration read; no content stands for a refusal."""
+class ConfigurationRead:
+    """Record one read of the configuration; the content is None after a failed read."""
 
     keeper: str
-    began_s: float
+    started_s: float
     content: bytes | None
 
 
 @dataclass(frozen=True)
-class Drained:
-    """Tell from when to when a target was listed as draining."""
+class DrainInterval:
+    """Record the interval in which a target was listed as draining."""
 
     target: str
     from_s: float
@@ -66,8 +66,8 @@
 
 
 @dataclass(frozen=True)
-class Disturbed:
-    """Tell from when to when a process was frozen or restarted."""
+class Disruption:
+    """Record the interval in which a process was suspended or restarted."""
 
     process: str
     from_s: float
@@ -75,82 +75,82 @@
 
 
 @dataclass(frozen=True)
-class LimitBound:
-    """Tell what a workspace may take in any window."""
+class TokenLimit:
+    """Limit the tokens that a workspace may use in any window."""
 
     workspace: str
     window_s: float
-    most: float
+    max_tokens: float
 
 
 @dataclass(frozen=True)
-class RolloutRead:
-    """Tell which state of a rollout was read."""
+class RolloutStateRead:
+    """Record one read of a rollout's state."""
 
-    began_s: float
+    started_s: float
     state: str
 
 
 @dataclass
-class RolloutSeen:
-    """Tell of one rollout, from its order on; times on the steady clock."""
+class RolloutRecord:
+    """Record one rollout; times are read from the steady clock."""
 
     service: str
     version: str
-    is_bad: bool
+    is_faulty: bool
     ordered_s: float
     acknowledged_s: float = float("inf")
     ended_s: float = float("inf")
-    reads: list[RolloutRead] = field(default_factory=list)
-    # Requests that ran at the old targets when they were stopped.
-    cut: int = 0
+    reads: list[RolloutStateRead] = field(default_factory=list)
+    # Requests in flight at the old targets when they were stopped.
+    aborted_count: int = 0
 
     @property
-    def end(self) -> str:
-        """Return the final state that was told, if any."""
+    def final_state(self) -> str:
+        """Return the final state, or an empty string while the rollout is in progress."""
         return self.reads[-1].state if self.reads and self.ended_s < float("inf") else ""
 
 
 @dataclass
 class SoakRecord:
-    """Hold all that was seen in one soak; times on one steady clock."""
+    """Hold the observations of one soak; times are read from the steady clock."""
 
     calls: list[CallResult] = field(default_factory=list)
     runs: list[RunRecord] = field(default_factory=list)
-    sent: list[Sent] = field(default_factory=list)
-    reads: list[Read] = field(default_factory=list)
-    drained: list[Drained] = field(default_factory=list)
+    writes: list[ConfigurationWrite] = field(default_factory=list)
+    reads: list[ConfigurationRead] = field(default_factory=list)
+    drains: list[DrainInterval] = field(default_factory=list)
     arrivals: list[Arrival] = field(default_factory=list)
     limit_notices: list[LimitNotice] = field(default_factory=list)
-    disturbed: list[Disturbed] = field(default_factory=list)
-    limits: list[LimitBound] = field(default_factory=list)
-    exits: list[str] = field(default_factory=list)
-    list_down: list[tuple[float, float]] = field(default_factory=list)
-    rollouts: list[RolloutSeen] = field(default_factory=list)
-    events_a_stream: int = 4
-    calm_from_s: float = float("inf")
+    disruptions: list[Disruption] = field(default_factory=list)
+    limits: list[TokenLimit] = field(default_factory=list)
+    unexpected_exits: list[str] = field(default_factory=list)
+    list_outages: list[tuple[float, float]] = field(default_factory=list)
+    rollouts: list[RolloutRecord] = field(default_factory=list)
+    events_per_stream: int = 4
+    recovered_s: float = float("inf")
 
 
 def is_repeatable(route: str) -> bool:
-    """Tell whether a test's route may run again."""
+    """Return whether requests of a test route may run more than once."""
     return route.startswith(("/get/", "/stream/resume/", "/stream/resume-once/"))
 
 
 def check_record(record: SoakRecord) -> list[str]:
-    """Return a line for each broken promise."""
+    """Return one message for each violated guarantee."""
     return [
-        *_check_once(record),
-        *_check_refusals(record),
-        *_check_answers(record),
+        *_check_at_most_once(record),
+        *_check_rejections(record),
+        *_check_responses(record),
         *_check_draining(record),
-        *_check_rests(record),
+        *_check_backoffs(record),
         *_check_leaving(record),
-        *_check_named_limits(record),
-        *_check_limits(record),
-        *_check_reads(record),
+        *_check_target_limits(record),
+        *_check_workspace_limits(record),
+        *_check_configuration_reads(record),
         *_check_recovery(record),
         *_check_rollouts(record),
-        *(f"a process ended by itself: {line}" for line in record.exits),
+        *(f"a process ended by itself: {line}" for line in record.unexpected_exits),
     ]
 
 
@@ -161,30 +161,32 @@
     return runs
 
 
-def _check_once(record: SoakRecord) -> list[str]:
+def _check_at_most_once(record: SoakRecord) -> list[str]:
     runs = _group_runs(record)
     known = {call.request for call in record.calls}
-    twice = [
+    repeated = [
         f"{call.request} {call.route} ran {len(runs[call.request])} times"
         for call in record.calls
         if not is_repeatable(call.route) and len(runs.get(call.request, [])) > 1
     ]
-    strangers = [f"{name} ran and nobody sent it" for name in runs if name not in known]
-    return twice + strangers
+    unknown = [f"{name} ran and nobody sent it" for name in runs if name not in known]
+    return repeated + unknown
 
 
-def _check_refusals(record: SoakRecord) -> list[str]:
+def _check_rejections(record: SoakRecord) -> list[str]:
     runs = _group_runs(record)
     return [
         f"{call.request} {call.route} was refused with {call.status} and ran"
         for call in record.calls
-        if call.status in REFUSALS and not is_repeatable(call.route) and call.request in runs
+        if call.status in REJECTION_STATUSES
+        and not is_repeatable(call.route)
+        and call.request in runs
     ]
 
 
-def _check_answers(record: SoakRecord) -> list[str]:
-    wrong = [
-        f"{call.request} {call.route} got what is no HTTP: {call.detail[:80]}"
+def _check_responses(record: SoakRecord) -> list[str]:
+    violations = [
+        f"{call.request} {call.route} got a response that is no HTTP: {call.detail[:80]}"
         for call in record.calls
         if call.is_malformed
     ]
@@ -192,146 +194,158 @@
         if call.status != _OK:
             continue
         if call.route.startswith("/stream"):
-            numbers = range(1, record.events_a_stream + 1)
+            numbers = range(1, record.events_per_stream + 1)
             expected = b"".join(make_event(call.request, number) for number in numbers)
         else:
             expected = make_body(call.request, b"x")
         if call.body != expected:
-            wrong.append(f"{call.request} {call.route} got another answer: {call.body[:80]!r}")
-    return wrong
+            violations.append(f"{call.request} {call.route} got another answer: {call.body[:80]!r}")
+    return violations
 
 
 def _check_draining(record: SoakRecord) -> list[str]:
     return [
-        f"{run.request} came to {run.target} {run.started_s - drained.from_s:.1f} s after the list"
-        for drained in record.drained
+        f"{run.request} reached {run.target} {run.started_s - drain.from_s:.1f} s after the list"
+        for drain in record.drains
         for run in record.runs
-        if run.target == drained.target
-        and drained.from_s + _DRAIN_S < run.started_s < drained.to_s
-        and _measure_down(record, drained.from_s, run.started_s) == 0
+        if run.target == drain.target
+        and drain.from_s + _DRAIN_TIMEOUT_S < run.started_s < drain.to_s
+        and _measure_list_outage_s(record, drain.from_s, run.started_s) == 0
     ]
 
 
-def _was_disturbed(record: SoakRecord, process: str, from_s: float, to_s: float) -> bool:
-    """Tell whether a process was frozen or restarted within a span, or just before it."""
+def _was_disrupted(record: SoakRecord, process: str, from_s: float, to_s: float) -> bool:
+    """Return whether a process was suspended or restarted in an interval or just before it."""
     return any(
-        disturbed.process == process
-        and disturbed.from_s < to_s
-        and disturbed.to_s > from_s - _SETTLED_S
-        for disturbed in record.disturbed
+        disruption.process == process
+        and disruption.from_s < to_s
+        and disruption.to_s > from_s - _DISRUPTION_MARGIN_S
+        for disruption in record.disruptions
     )
 
 
-def _check_rests(record: SoakRecord) -> list[str]:
+def _check_backoffs(record: SoakRecord) -> list[str]:
     results = {call.request: call for call in record.calls}
     return [
-        f"{rest.gateway} sent {rest.arrivals} to {rest.target} in {rest.backoff_s:.1f} s of rest"
-        for rest in find_backoff_violations(record.arrivals, results)
-        if not _was_disturbed(record, rest.gateway, rest.started_s, rest.started_s + rest.backoff_s)
+        f"{over.gateway} sent {over.arrivals} to {over.target} in {over.backoff_s:.1f} s of rest"
+        for over in find_backoff_violations(record.arrivals, results)
+        if not _was_disrupted(record, over.gateway, over.started_s, over.started_s + over.backoff_s)
     ]
 
 
 def _check_leaving(record: SoakRecord) -> list[str]:
     results = {call.request: call for call in record.calls}
-    told_s = {
+    announced_s = {
         (results[a.request].gateway, a.target, a.born_ms): a.at_s
         for a in reversed(record.arrivals)
         if a.is_leaving and a.request in results
     }
-    broken: list[str] = []
-    for late in find_late_sends(record.arrivals, results, _DRAIN_S):
+    violations: list[str] = []
+    for late in find_late_sends(record.arrivals, results, _DRAIN_TIMEOUT_S):
         gateway = results[late.request].gateway
-        since_s = told_s[gateway, late.target, late.born_ms]
-        if not _was_disturbed(record, gateway, since_s, late.at_s):
-            broken.append(f"{gateway} sent {late.request} to {late.target} that had said it leaves")
-    return broken
+        since_s = announced_s[gateway, late.target, late.born_ms]
+        if not _was_disrupted(record, gateway, since_s, late.at_s):
+            violations.append(
+                f"{gateway} sent {late.request} to {late.target} that had said it leaves"
+            )
+    return violations
 
 
-def _check_named_limits(record: SoakRecord) -> list[str]:
+def _check_target_limits(record: SoakRecord) -> list[str]:
     results = {call.request: call for call in record.calls}
-    # A gateway that was frozen or restarted within the window does not count in it.
-    undisturbed = [
+    # Ignores gateways that were suspended or restarted within the window.
+    undisrupted = [
         arrival
         for arrival in record.arrivals
         if arrival.request in results
-        and not _was_disturbed(
-            record, results[arrival.request].gateway, arrival.at_s - _KNOWN_S, arrival.at_s
+        and not _was_disrupted(
+            record, results[arrival.request].gateway, arrival.at_s - _LIMIT_MAX_AGE_S, arrival.at_s
         )
     ]
     return [
         f"{over.target} got {over.count} in a window of its limit, {over.allowed} allowed"
-        for over in find_limit_violations(undisturbed, record.limit_notices, results)
+        for over in find_limit_violations(undisrupted, record.limit_notices, results)
     ]
 
 
-def _measure_down(record: SoakRecord, from_s: float, to_s: float) -> float:
-    """Return for how long of a span nobody could read the list."""
+def _measure_list_outage_s(record: SoakRecord, from_s: float, to_s: float) -> float:
+    """Return how many seconds of an interval the target list was unavailable."""
     return sum(
-        max(0.0, min(end_s, to_s) - max(start_s, from_s)) for start_s, end_s in record.list_down
+        max(0.0, min(end_s, to_s) - max(start_s, from_s)) for start_s, end_s in record.list_outages
     )
 
 
-def _check_limits(record: SoakRecord) -> list[str]:
-    broken: list[str] = []
-    for bound in record.limits:
-        taken = sorted(
-            (run.started_s, run.tokens) for run in record.runs if run.workspace == bound.workspace
+def _check_workspace_limits(record: SoakRecord) -> list[str]:
+    violations: list[str] = []
+    for limit in record.limits:
+        runs = sorted(
+            (run.started_s, run.tokens) for run in record.runs if run.workspace == limit.workspace
         )
         start, total = 0, 0
-        for at_s, tokens in taken:
+        for at_s, tokens in runs:
             total += tokens
-            while taken[start][0] < at_s - bound.window_s:
-                total -= taken[start][1]
+            while runs[start][0] < at_s - limit.window_s:
+                total -= runs[start][1]
                 start += 1
-            if total > bound.most:
-                broken.append(f"{bound.workspace} took {total} of {bound.most:g} in a window")
+            if total > limit.max_tokens:
+                violations.append(
+                    f"{limit.workspace} used {total} of {limit.max_tokens:g} tokens in a window"
+                )
                 break
-    return broken
+    return violations
 
 
-def _check_reads(record: SoakRecord) -> list[str]:
-    contents: dict[bytes, int] = {sent.content: sent.version for sent in record.sent}
-    broken: list[str] = []
-    told: dict[int, bytes] = {}
-    for read in sorted(record.reads, key=lambda read: read.began_s):
+def _check_configuration_reads(record: SoakRecord) -> list[str]:
+    versions: dict[bytes, int] = {write.content: write.version for write in record.writes}
+    violations: list[str] = []
+    contents: dict[int, bytes] = {}
+    for read in sorted(record.reads, key=lambda read: read.started_s):
         if read.content is None:
             continue
-        version = contents.get(read.content)
+        version = versions.get(read.content)
         if version is None:
-            broken.append(f"{read.keeper} told a content that nobody sent")
+            violations.append(f"{read.keeper} returned a content that nobody sent")
             continue
-        if told.setdefault(version, read.content) != read.content:
-            broken.append(f"version {version} was told with two contents")
+        if contents.setdefault(version, read.content) != read.content:
+            violations.append(f"version {version} was returned with two contents")
         acknowledged = [
-            sent.version
-            for sent in record.sent
-            if sent.status == _OK and sent.ended_s + _READ_SLACK_S < read.began_s
+            write.version
+            for write in record.writes
+            if write.status == _OK and write.ended_s + _READ_MAX_LAG_S < read.started_s
         ]
         if acknowledged and version < max(acknowledged):
-            broken.append(f"{read.keeper} told {version} after {max(acknowledged)} was taken")
-    return broken
+            violations.append(
+                f"{read.keeper} returned {version} after {max(acknowledged)} was taken"
+            )
+    return violations
 
 
 def _check_recovery(record: SoakRecord) -> list[str]:
-    calm = [call for call in record.calls if call.began_s >= record.calm_from_s]
-    served = [call for call in calm if call.status == _OK]
-    if calm and len(served) < _SERVED_SHARE * len(calm):
-        return [f"after the faults only {len(served)} of {len(calm)} calls were served"]
-    if record.calm_from_s < float("inf") and not calm:
+    recovered = [call for call in record.calls if call.began_s >= record.recovered_s]
+    served = [call for call in recovered if call.status == _OK]
+    if recovered and len(served) < _MIN_SERVED_SHARE * len(recovered):
+        return [f"after the faults only {len(served)} of {len(recovered)} calls were served"]
+    if record.recovered_s < float("inf") and not recovered:
         return ["no call was sent after the faults"]
     return []
 
 
 def _check_rollouts(record: SoakRecord) -> list[str]:
-    broken: list[str] = []
-    for seen in record.rollouts:
-        started = [run.started_s for run in record.runs if f"-{seen.version}-" in run.target]
-        if any(started_s < seen.ordered_s for started_s in started):
-            broken.append(f"{seen.version} got a request before it was ordered")
-        if seen.end == "rolled_back" and max(started, default=0.0) > seen.ended_s + _ROLLBACK_S:
-            broken.append(f"{seen.version} got a request after it was rolled back")
-        if seen.end == "completed" and seen.is_bad:
-            broken.append(f"{seen.version} fails half of its answers and was completed")
-        if not seen.end and record.calm_from_s > seen.acknowledged_s + _ROLLOUT_S:
-            broken.append(f"the rollout to {seen.version} did not end")
-    return broken
+    violations: list[str] = []
+    for rollout in record.rollouts:
+        started = [run.started_s for run in record.runs if f"-{rollout.version}-" in run.target]
+        if any(started_s < rollout.ordered_s for started_s in started):
+            violations.append(f"{rollout.version} got a request before it was ordered")
+        if (
+            rollout.final_state == "rolled_back"
+            and max(started, default=0.0) > rollout.ended_s + _ROLLBACK_TIMEOUT_S
+        ):
+            violations.append(f"{rollout.version} got a request after it was rolled back")
+        if rollout.final_state == "completed" and rollout.is_faulty:
+            violations.append(f"{rollout.version} fails half of its requests and was completed")
+        if (
+            not rollout.final_state
+            and record.recovered_s > rollout.acknowledged_s + _ROLLOUT_TIMEOUT_S
+        ):
+            violations.append(f"the rollout to {rollout.version} did not end")
+    return violations
--- a/troutstand/testing/soak/plan.py
+++ b/troutstand/testing/soak/plan.py
@@ -1,4 +1,4 @@
-"""Draw a soak's faults from a seed: in series, overlapping, more than once."""
+"""Generate the faults and operator actions of a soak from a seed."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 from enum import Enum
 
 
-class Kind(Enum):
-    """Say what is done to the site."""
+class EventKind(Enum):
+    """Name the kinds of faults and operator actions."""
 
-    FREEZE = "freeze"
+    SUSPEND = "freeze"
     KILL = "kill"
     STOP = "stop"
     RELOAD = "reload"
@@ -18,78 +18,83 @@
     LOSE_DISK = "lose disk"
     REPLACE_KEEPER = "replace keeper"
     CUT_LINK = "cut link"
-    CUT_ONE_WAY = "cut one way"
+    CUT_LINK_ONE_WAY = "cut one way"
     DELAY_LINK = "delay link"
     RESET_LINKS = "reset links"
     TARGET_FAULT = "target fault"
     TARGET_CRASH = "target crash"
     TARGET_DRAIN = "target drain"
-    LIST_DOWN = "list down"
+    LIST_OUTAGE = "list down"
     CONFIGURE = "configure"
-    RACE = "race"
-    LEAVE = "leave"
+    CONFIGURE_CONCURRENTLY = "race"
+    DISCONNECT_CALLER = "leave"
 
 
-# How often each kind comes among a hundred.
+# Relative frequencies.
 _WEIGHTS = {
-    Kind.FREEZE: 12,
-    Kind.KILL: 12,
-    Kind.STOP: 10,
-    Kind.RELOAD: 3,
-    Kind.KILL_KEEPERS: 2,
-    Kind.LOSE_DISK: 5,
-    Kind.REPLACE_KEEPER: 3,
-    Kind.CUT_LINK: 9,
-    Kind.CUT_ONE_WAY: 5,
-    Kind.DELAY_LINK: 5,
-    Kind.RESET_LINKS: 4,
-    Kind.TARGET_FAULT: 10,
-    Kind.TARGET_CRASH: 5,
-    Kind.TARGET_DRAIN: 4,
-    Kind.LIST_DOWN: 2,
-    Kind.CONFIGURE: 12,
-    Kind.RACE: 5,
-    Kind.LEAVE: 2,
+    EventKind.SUSPEND: 12,
+    EventKind.KILL: 12,
+    EventKind.STOP: 10,
+    EventKind.RELOAD: 3,
+    EventKind.KILL_KEEPERS: 2,
+    EventKind.LOSE_DISK: 5,
+    EventKind.REPLACE_KEEPER: 3,
+    EventKind.CUT_LINK: 9,
+    EventKind.CUT_LINK_ONE_WAY: 5,
+    EventKind.DELAY_LINK: 5,
+    EventKind.RESET_LINKS: 4,
+    EventKind.TARGET_FAULT: 10,
+    EventKind.TARGET_CRASH: 5,
+    EventKind.TARGET_DRAIN: 4,
+    EventKind.LIST_OUTAGE: 2,
+    EventKind.CONFIGURE: 12,
+    EventKind.CONFIGURE_CONCURRENTLY: 5,
+    EventKind.DISCONNECT_CALLER: 2,
 }
-# Losing a disk, or a keeper for good, needs a whole set, and time to mend it.
-_DISK_KINDS = (Kind.LOSE_DISK, Kind.REPLACE_KEEPER)
-_DISK_PAUSE_S = 10.0
-_MAX_LENGTH_S = 4.0
+# These events need a complete keeper set and time for its recovery.
+_DISK_EVENTS = (EventKind.LOSE_DISK, EventKind.REPLACE_KEEPER)
+_MIN_DISK_EVENT_GAP_S = 10.0
+_MAX_DURATION_S = 4.0
 
 
 @dataclass(frozen=True)
-class Event:
-    """Hold one fault; times in seconds from the start of traffic.
+class SoakEvent:
+    """Describe one event; times are in seconds from the start of the traffic.
 
     Parameters
     ----------
-    pick
-        Chooses among the processes or targets that fit, whatever their number.
+    choice
+        Number that selects one of the eligible processes or targets, modulo their count.
+    second_choice
+        Number that selects a second one or a variant of the event.
     """
 
     at_s: float
-    kind: Kind
-    length_s: float
-    pick: int
-    other: int
+    kind: EventKind
+    duration_s: float
+    choice: int
+    second_choice: int
 
 
-def draw_plan(seed: int, length_s: float, per_s: float) -> list[Event]:
-    """Draw the faults of one soak."""
-    chance = random.Random(seed)
+def generate_events(seed: int, duration_s: float, faults_per_s: float) -> list[SoakEvent]:
+    """Generate the events of one soak; equal seeds give equal events."""
+    rng = random.Random(seed)
     kinds, weights = list(_WEIGHTS), list(_WEIGHTS.values())
-    events: list[Event] = []
-    disk_at_s = float("-inf")
+    events: list[SoakEvent] = []
+    last_disk_event_s = float("-inf")
     at_s = 1.0
-    while at_s < length_s:
-        kind = chance.choices(kinds, weights)[0]
-        length = chance.uniform(0.2, _MAX_LENGTH_S)
-        pick, other = chance.randrange(1 << 16), chance.randrange(1 << 16)
-        if kind in _DISK_KINDS:
-            if at_s - disk_at_s < _DISK_PAUSE_S or at_s > length_s - _DISK_PAUSE_S:
-                kind = Kind.KILL
+    while at_s < duration_s:
+        kind = rng.choices(kinds, weights)[0]
+        event_duration_s = rng.uniform(0.2, _MAX_DURATION_S)
+        choice, second_choice = rng.randrange(1 << 16), rng.randrange(1 << 16)
+        if kind in _DISK_EVENTS:
+            if (
+                at_s - last_disk_event_s < _MIN_DISK_EVENT_GAP_S
+                or at_s > duration_s - _MIN_DISK_EVENT_GAP_S
+            ):
+                kind = EventKind.KILL
             else:
-                disk_at_s = at_s
-        events.append(Event(at_s, kind, length, pick, other))
-        at_s += chance.expovariate(per_s)
+                last_disk_event_s = at_s
+        events.append(SoakEvent(at_s, kind, event_duration_s, choice, second_choice))
+        at_s += rng.expovariate(faults_per_s)
     return events
--- a/troutstand/testing/soak/run.py
+++ b/troutstand/testing/soak/run.py
@@ -1,4 +1,4 @@
-"""Play one seed: a routed site, its callers and operator, and the faults."""
+"""Run a routed site with callers, an operator and the faults of one seed."""
 
 from __future__ import annotations
 
@@ -25,45 +25,50 @@
     RoutedSite,
     wait_until,
 )
-from troutstand.testing.soak.check import Disturbed, LimitBound, Read, Sent, SoakRecord
-from troutstand.testing.soak.plan import Event, Kind, draw_plan
+from troutstand.testing.soak.check import (
+    ConfigurationRead,
+    ConfigurationWrite,
+    Disruption,
+    SoakRecord,
+    TokenLimit,
+)
+from troutstand.testing.soak.plan import EventKind, SoakEvent, generate_events
 from troutstand.testing.soak.rollouts import FIRST_VERSION, SoakRollouts
-from troutstand.testing.soak.targets import heal_target, trouble_target
+from troutstand.testing.soak.targets import clear_target_fault, inject_target_fault
 from troutstand.testing.standins import StandInList, StandInTarget
 
 if TYPE_CHECKING:
     from pathlib import Path
 
-_CALL_GAP_S = 0.04
-_READ_GAP_S = 0.25
+_CALL_INTERVAL_S = 0.04
+_READ_INTERVAL_S = 0.25
 _RECOVERY_S = 12.0
-_CALM_S = 3.0
-_RESTART_S = 0.3
-_LIMITED = "limited"
+_FAULT_FREE_S = 3.0
+_RESTART_DELAY_S = 0.3
+_LIMITED_WORKSPACE = "limited"
 _LIMITED_KEY = "key-limited"
-_LIMIT_RATE = 400.0
-_LIMIT_BURST = 400.0
+_LIMIT_TOKENS_PER_S = 400.0
+_LIMIT_BURST_TOKENS = 400.0
 _LIMIT_WINDOW_S = 8.0
 _ROUTES = ("/get/", "/do/", "/do/", "/stream/", "/stream/resume/", "/stream/resume-once/")
 
 
 @dataclass(frozen=True)
 class SoakPlan:
-    """Say how large and how long a soak is."""
+    """Configure the size, the duration and the faults of a soak."""
 
     seed: int
-    length_s: float = 20.0
-    # Faults a second; 0 plays none.
-    per_s: float = 1.2
+    duration_s: float = 20.0
+    # 0 disables faults.
+    faults_per_s: float = 1.2
     gateways: int = 3
     subnet: str = "88.1"
-    # Whether versions are rolled out beside the faults.
     rollouts: bool = False
 
 
 @dataclass
 class Soak:
-    """Hold one soak under way."""
+    """Run one soak and record what callers, operators and targets observe."""
 
     plan: SoakPlan
     folder: Path
@@ -76,17 +81,17 @@
     _calls: set[asyncio.Task[object]] = field(default_factory=set)
 
     async def run(self) -> SoakRecord:
-        """Play the seed and return what was seen."""
-        await self._open()
+        """Run the soak and return its record."""
+        await self._start_site()
         try:
-            await self._play()
+            await self._run_traffic()
         finally:
-            await self._close()
+            await self._stop_site()
         return self.record
 
-    # Start and end
+    # Setup and teardown
 
-    async def _open(self) -> None:
+    async def _start_site(self) -> None:
         for number in range(3):
             self.targets.append(
                 StandInTarget(f"plain-{number}", "work", seed=number, version=FIRST_VERSION)
@@ -112,15 +117,19 @@
         self.caller = RoutedCaller(self.session, f"soak-{self.plan.seed}")
         version = next(self._versions)
         content = self._make_content(version)
-        began_s = time.monotonic()
+        started_s = time.monotonic()
         await self.site.write_anywhere(self.session, content)
-        self.record.sent.append(Sent(version, content, began_s, time.monotonic(), 200))
+        self.record.writes.append(
+            ConfigurationWrite(version, content, started_s, time.monotonic(), 200)
+        )
         await self.site.wait_ready(self.session)
-        bound = (_LIMIT_RATE * _LIMIT_WINDOW_S + _LIMIT_BURST) * 1.1 + plan.quota_extra
-        # What gateways and stand-ins hold on to may arrive bunched by a freeze.
-        self.record.limits = [LimitBound(_LIMITED, _LIMIT_WINDOW_S, bound * 1.5)]
+        max_tokens = (
+            _LIMIT_TOKENS_PER_S * _LIMIT_WINDOW_S + _LIMIT_BURST_TOKENS
+        ) * 1.1 + plan.quota_extra
+        # Requests held during a suspension may arrive in a burst.
+        self.record.limits = [TokenLimit(_LIMITED_WORKSPACE, _LIMIT_WINDOW_S, max_tokens * 1.5)]
 
-    async def _close(self) -> None:
+    async def _stop_site(self) -> None:
         for task in list(self._tasks):
             task.cancel()
         self.site.stop()
@@ -142,35 +151,39 @@
 
     # Traffic
 
-    async def _play(self) -> None:
-        traffic = [self._spawn(self._call()), self._spawn(self._read_all())]
+    async def _run_traffic(self) -> None:
+        traffic = [self._spawn(self._send_calls()), self._spawn(self._poll_configuration())]
         if self.plan.rollouts:
             traffic.append(self._spawn(SoakRollouts(self, self.plan.seed).run()))
-        began_s = time.monotonic()
-        under_way: list[asyncio.Task[None]] = []
-        for event in self._draw_events():
-            await asyncio.sleep(max(0.0, began_s + event.at_s - time.monotonic()))
-            self._note_exits()
-            under_way.append(self._spawn(self._strike(event)))
-        await asyncio.sleep(max(0.0, began_s + self.plan.length_s - time.monotonic()))
-        await asyncio.gather(*under_way)
-        await self._heal()
+        started_s = time.monotonic()
+        in_progress: list[asyncio.Task[None]] = []
+        for event in self._generate_events():
+            await asyncio.sleep(max(0.0, started_s + event.at_s - time.monotonic()))
+            self._record_exits()
+            in_progress.append(self._spawn(self._inject(event)))
+        await asyncio.sleep(max(0.0, started_s + self.plan.duration_s - time.monotonic()))
+        await asyncio.gather(*in_progress)
+        await self._clear_faults()
         await asyncio.sleep(_RECOVERY_S)
-        self.record.calm_from_s = time.monotonic()
-        await asyncio.sleep(_CALM_S)
-        self._note_exits()
+        self.record.recovered_s = time.monotonic()
+        await asyncio.sleep(_FAULT_FREE_S)
+        self._record_exits()
         for task in traffic:
             task.cancel()
         await asyncio.gather(*traffic, *self._calls, return_exceptions=True)
-        await self._read_once()
+        await self._read_configuration()
         self.record.calls = self.caller.results
 
-    def _draw_events(self) -> list[Event]:
+    def _generate_events(self) -> list[SoakEvent]:
         plan = self.plan
-        return draw_plan(plan.seed, plan.length_s, plan.per_s) if plan.per_s else []
+        return (
+            generate_events(plan.seed, plan.duration_s, plan.faults_per_s)
+            if plan.faults_per_s
+            else []
+        )
 
-    async def _call(self) -> None:
-        """Send calls through all gateways, on open connections, whatever happens to them."""
+    async def _send_calls(self) -> None:
+        """Send calls to all gateways in turn without waiting for the responses."""
         calls = self._calls
         for number in itertools.count():
             gateways = self.site.list_role(RoutingRole.gateway)
@@ -183,130 +196,135 @@
             task: asyncio.Task[object] = asyncio.create_task(coroutine)
             calls.add(task)
             task.add_done_callback(calls.discard)
-            await asyncio.sleep(_CALL_GAP_S)
+            await asyncio.sleep(_CALL_INTERVAL_S)
 
-    async def _read_all(self) -> None:
+    async def _poll_configuration(self) -> None:
         while True:
-            await self._read_once()
-            await asyncio.sleep(_READ_GAP_S)
+            await self._read_configuration()
+            await asyncio.sleep(_READ_INTERVAL_S)
 
-    async def _read_once(self) -> None:
+    async def _read_configuration(self) -> None:
         for process in self.site.list_role(RoutingRole.keeper):
-            began_s = time.monotonic()
+            started_s = time.monotonic()
             content = await self.site.read(self.session, process.name)
-            self.record.reads.append(Read(process.name, began_s, content))
+            self.record.reads.append(ConfigurationRead(process.name, started_s, content))
 
     def _make_content(self, version: int, variant: int = 0) -> bytes:
         workspaces = [
             RoutedWorkspace("one", keys=[KEY, f"key-{version}-{variant}"]),
             RoutedWorkspace(
-                _LIMITED,
+                _LIMITED_WORKSPACE,
                 keys=[_LIMITED_KEY],
-                tokens_per_s=_LIMIT_RATE,
-                burst_tokens=_LIMIT_BURST,
+                tokens_per_s=_LIMIT_TOKENS_PER_S,
+                burst_tokens=_LIMIT_BURST_TOKENS,
             ),
         ]
         return ConfigurationPlan(version, workspaces=workspaces).encode()
 
-    async def _send(self, version: int, variant: int, keeper: str) -> None:
+    async def _write_configuration(self, version: int, variant: int, keeper: str) -> None:
         content = self._make_content(version, variant)
-        began_s = time.monotonic()
+        started_s = time.monotonic()
         status = await self.site.write(self.session, keeper, content)
         ended_s = time.monotonic()
-        self.record.sent.append(Sent(version, content, began_s, ended_s, status))
+        self.record.writes.append(ConfigurationWrite(version, content, started_s, ended_s, status))
 
     # Faults
 
-    def _pick(self, event: Event, role: RoutingRole | None = None) -> HostProcess:
-        fitting = [
+    def _choose_process(self, event: SoakEvent, role: RoutingRole | None = None) -> HostProcess:
+        eligible = [
             process
             for process in self.site.processes.values()
             if role is None or process.settings.role is role
         ]
-        return fitting[event.pick % len(fitting)]
+        return eligible[event.choice % len(eligible)]
 
-    def _note_exits(self) -> None:
+    def _record_exits(self) -> None:
         for process in self.site.processes.values():
             child = process.child
             if child is None or process.name in self._expected_down or child.poll() is None:
                 continue
-            self.record.exits.append(f"{process.name} with {child.returncode}")
+            self.record.unexpected_exits.append(f"{process.name} with {child.returncode}")
             self._expected_down.add(process.name)
 
-    async def _strike(self, event: Event) -> None:
+    async def _inject(self, event: SoakEvent) -> None:
         match event.kind:
-            case Kind.FREEZE:
-                await self._freeze(self._pick(event), event.length_s)
-            case Kind.KILL:
-                await self._restart([self._pick(event)], signal.SIGKILL)
-            case Kind.STOP:
-                await self._restart([self._pick(event)], signal.SIGTERM)
-            case Kind.RELOAD:
-                await self.reload(self._pick(event))
-            case Kind.KILL_KEEPERS:
+            case EventKind.SUSPEND:
+                await self._suspend(self._choose_process(event), event.duration_s)
+            case EventKind.KILL:
+                await self._restart([self._choose_process(event)], signal.SIGKILL)
+            case EventKind.STOP:
+                await self._restart([self._choose_process(event)], signal.SIGTERM)
+            case EventKind.RELOAD:
+                await self.reload(self._choose_process(event))
+            case EventKind.KILL_KEEPERS:
                 await self._restart(self.site.list_role(RoutingRole.keeper), signal.SIGKILL)
-            case Kind.LOSE_DISK:
-                await self._lose_disk(self._pick(event, RoutingRole.keeper))
-            case Kind.REPLACE_KEEPER:
-                await self._replace(self._pick(event, RoutingRole.keeper))
-            case Kind.CUT_LINK | Kind.CUT_ONE_WAY | Kind.DELAY_LINK | Kind.RESET_LINKS:
-                await self._trouble_link(event)
-            case Kind.TARGET_FAULT | Kind.TARGET_CRASH | Kind.TARGET_DRAIN:
-                target = self.targets[event.pick % len(self.targets)]
-                await trouble_target(target, event, self.record)
-            case Kind.LIST_DOWN:
+            case EventKind.LOSE_DISK:
+                await self._lose_disk(self._choose_process(event, RoutingRole.keeper))
+            case EventKind.REPLACE_KEEPER:
+                await self._replace_keeper(self._choose_process(event, RoutingRole.keeper))
+            case (
+                EventKind.CUT_LINK
+                | EventKind.CUT_LINK_ONE_WAY
+                | EventKind.DELAY_LINK
+                | EventKind.RESET_LINKS
+            ):
+                await self._disrupt_link(event)
+            case EventKind.TARGET_FAULT | EventKind.TARGET_CRASH | EventKind.TARGET_DRAIN:
+                target = self.targets[event.choice % len(self.targets)]
+                await inject_target_fault(target, event, self.record)
+            case EventKind.LIST_OUTAGE:
                 self.list.is_down, from_s = True, time.monotonic()
-                await asyncio.sleep(event.length_s)
+                await asyncio.sleep(event.duration_s)
                 self.list.is_down = False
-                self.record.list_down.append((from_s, time.monotonic()))
-            case Kind.CONFIGURE | Kind.RACE:
+                self.record.list_outages.append((from_s, time.monotonic()))
+            case EventKind.CONFIGURE | EventKind.CONFIGURE_CONCURRENTLY:
                 await self._configure(event)
-            case Kind.LEAVE:
-                await self._leave(event)
+            case EventKind.DISCONNECT_CALLER:
+                await self._disconnect_caller(event)
 
-    async def _freeze(self, process: HostProcess, length_s: float) -> None:
-        began_s = time.monotonic()
+    async def _suspend(self, process: HostProcess, duration_s: float) -> None:
+        started_s = time.monotonic()
         self.site.send_signal(process.name, signal.SIGSTOP)
-        await asyncio.sleep(length_s)
+        await asyncio.sleep(duration_s)
         self.site.send_signal(process.name, signal.SIGCONT)
-        self.record.disturbed.append(Disturbed(process.name, began_s, time.monotonic()))
+        self.record.disruptions.append(Disruption(process.name, started_s, time.monotonic()))
 
     async def reload(self, process: HostProcess) -> None:
-        """Tell a process to reload as soon as its first line has run.
+        """Signal a process to reload once it handles the signal.
 
-        Until then the interpreter has the system's default for the signal, which ends it.
+        Before that, the default action of the signal would end the process.
         """
 
-        async def may_be_told() -> bool:
+        async def can_reload() -> bool:
             is_down = not process.is_running
             return is_down or self.site.handles_signal(process.name, signal.SIGHUP)
 
-        await wait_until(may_be_told, f"{process.name} handles the signal to reload")
+        await wait_until(can_reload, f"{process.name} handles the reload signal")
         self.site.send_signal(process.name, signal.SIGHUP)
 
     async def _restart(self, processes: list[HostProcess], number: signal.Signals) -> None:
-        began_s = time.monotonic()
-        mine = [p for p in processes if p.name not in self._expected_down]
-        self._expected_down.update(process.name for process in mine)
-        for process in mine:
+        started_s = time.monotonic()
+        restarted = [p for p in processes if p.name not in self._expected_down]
+        self._expected_down.update(process.name for process in restarted)
+        for process in restarted:
             self.site.send_signal(process.name, signal.SIGCONT)
             self.site.send_signal(process.name, number)
-        for process in mine:
-            await self._wait_gone(process)
-        await asyncio.sleep(_RESTART_S)
-        for process in mine:
+        for process in restarted:
+            await self._wait_for_exit(process)
+        await asyncio.sleep(_RESTART_DELAY_S)
+        for process in restarted:
             self._start(process)
-            self.record.disturbed.append(Disturbed(process.name, began_s, time.monotonic()))
+            self.record.disruptions.append(Disruption(process.name, started_s, time.monotonic()))
 
-    async def _wait_gone(self, process: HostProcess) -> None:
-        async def is_gone() -> bool:
-            # A stopped process handles no signal: whoever froze it thaws it later.
+    async def _wait_for_exit(self, process: HostProcess) -> None:
+        async def has_exited() -> bool:
+            # A suspended process exits after the fault that suspended it resumes it.
             return not process.is_running
 
         try:
-            await wait_until(is_gone, f"{process.name} ended", 10.0)
+            await wait_until(has_exited, f"{process.name} exited", 10.0)
         except AssertionError:
-            self.record.exits.append(f"{process.name} did not end when told to")
+            self.record.unexpected_exits.append(f"{process.name} did not exit after the signal")
             self.site.kill(process.name)
 
     def _start(self, process: HostProcess) -> None:
@@ -320,10 +338,10 @@
         self._expected_down.add(process.name)
         self.site.kill(process.name)
         shutil.rmtree(process.settings.data_folder, ignore_errors=True)
-        await asyncio.sleep(_RESTART_S)
+        await asyncio.sleep(_RESTART_DELAY_S)
         self._start(process)
 
-    async def _replace(self, process: HostProcess) -> None:
+    async def _replace_keeper(self, process: HostProcess) -> None:
         if process.name in self._expected_down:
             return
         self._expected_down.add(process.name)
@@ -333,51 +351,51 @@
         proxy = await put_behind_proxy(fresh)
         assert proxy is not None
         self.proxies[fresh.name] = proxy
-        await asyncio.sleep(_RESTART_S)
+        await asyncio.sleep(_RESTART_DELAY_S)
         self._start(fresh)
 
-    async def _trouble_link(self, event: Event) -> None:
+    async def _disrupt_link(self, event: SoakEvent) -> None:
         names = sorted(self.proxies)
-        proxy = self.proxies[names[event.pick % len(names)]]
-        if event.kind is Kind.RESET_LINKS:
+        proxy = self.proxies[names[event.choice % len(names)]]
+        if event.kind is EventKind.RESET_LINKS:
             proxy.reset_all()
             return
-        others = sorted(self.site.processes.values(), key=lambda process: process.name)
-        other = others[event.other % len(others)]
-        # One time in three the whole host is cut off.
-        source = "" if event.other % 3 == 0 else other.settings.bind_ip
-        trouble = FaultKind.DELAY if event.kind is Kind.DELAY_LINK else FaultKind.SILENCE
-        way = LinkFault(trouble, 0.05 + event.length_s / 20)
-        proxy.set_link_fault(source, True, way)
-        if event.kind is not Kind.CUT_ONE_WAY:
-            proxy.set_link_fault(source, False, way)
-        await asyncio.sleep(event.length_s)
+        peers = sorted(self.site.processes.values(), key=lambda process: process.name)
+        peer = peers[event.second_choice % len(peers)]
+        # An empty source selects the connections from all hosts.
+        source = "" if event.second_choice % 3 == 0 else peer.settings.bind_ip
+        kind = FaultKind.DELAY if event.kind is EventKind.DELAY_LINK else FaultKind.SILENCE
+        link_fault = LinkFault(kind, 0.05 + event.duration_s / 20)
+        proxy.set_link_fault(source, True, link_fault)
+        if event.kind is not EventKind.CUT_LINK_ONE_WAY:
+            proxy.set_link_fault(source, False, link_fault)
+        await asyncio.sleep(event.duration_s)
         proxy.set_link_fault(source, True, LinkFault())
         proxy.set_link_fault(source, False, LinkFault())
 
-    async def _configure(self, event: Event) -> None:
+    async def _configure(self, event: SoakEvent) -> None:
         version = next(self._versions)
         keepers = [process.name for process in self.site.list_role(RoutingRole.keeper)]
-        first = keepers[event.pick % len(keepers)]
-        second = keepers[event.other % len(keepers)]
-        sends = [self._send(version, 0, first)]
-        if event.kind is Kind.RACE:
-            sends.append(self._send(version, 1, second))
-        await asyncio.gather(*sends)
-
-    async def _leave(self, event: Event) -> None:
-        gateway = self._pick(event, RoutingRole.gateway)
+        first = keepers[event.choice % len(keepers)]
+        second = keepers[event.second_choice % len(keepers)]
+        writes = [self._write_configuration(version, 0, first)]
+        if event.kind is EventKind.CONFIGURE_CONCURRENTLY:
+            writes.append(self._write_configuration(version, 1, second))
+        await asyncio.gather(*writes)
+
+    async def _disconnect_caller(self, event: SoakEvent) -> None:
+        gateway = self._choose_process(event, RoutingRole.gateway)
         call = asyncio.create_task(self.caller.call(gateway, "/stream/", b"x"))
         await asyncio.sleep(0.02)
         call.cancel()
         await asyncio.gather(call, return_exceptions=True)
 
-    async def _heal(self) -> None:
+    async def _clear_faults(self) -> None:
         for proxy in self.proxies.values():
             proxy.heal()
         self.list.is_down = False
         for target in self.targets:
-            heal_target(target)
+            clear_target_fault(target)
             if target._server is None:
                 await target.start()
         for process in list(self.site.processes.values()):
--- a/troutstand/tests/steps/soak.py
+++ b/troutstand/tests/steps/soak.py
@@ -11,17 +11,17 @@
 from troutstand.testing.arrivals import Arrival, LimitNotice
 from troutstand.testing.routedcaller import CallResult
 from troutstand.testing.soak.check import (
-    Disturbed,
-    Drained,
-    LimitBound,
-    Read,
-    Sent,
+    ConfigurationRead,
+    ConfigurationWrite,
+    Disruption,
+    DrainInterval,
     SoakRecord,
+    TokenLimit,
     check_record,
 )
-from troutstand.testing.soak.plan import Event, Kind, draw_plan
+from troutstand.testing.soak.plan import EventKind, SoakEvent, generate_events
 from troutstand.testing.soak.run import Soak, SoakPlan
-from troutstand.testing.soak.targets import DRAINED_LONGER_S, trouble_target
+from troutstand.testing.soak.targets import EXTRA_DRAIN_S, inject_target_fault
 from troutstand.testing.standins import RunRecord, StandInTarget, make_body, make_event
 from troutstand.tests.environment import make_folder, next_subnet
 
@@ -62,11 +62,18 @@
             make_run("c4", "t2", 4.1),
             make_run("c5", "t1", 50.0),
         ],
-        sent=[Sent(1, contents[0], 0.0, 0.1, 200), Sent(2, contents[1], 5.0, 5.1, 200)],
-        reads=[Read("k1", 4.0, contents[0]), Read("k2", 20.0, contents[1]), Read("k3", 21.0, None)],
-        drained=[Drained("t2", 3.0, 30.0)],
-        limits=[LimitBound("w", 8.0, 100.0)],
-        calm_from_s=45.0,
+        writes=[
+            ConfigurationWrite(1, contents[0], 0.0, 0.1, 200),
+            ConfigurationWrite(2, contents[1], 5.0, 5.1, 200),
+        ],
+        reads=[
+            ConfigurationRead("k1", 4.0, contents[0]),
+            ConfigurationRead("k2", 20.0, contents[1]),
+            ConfigurationRead("k3", 21.0, None),
+        ],
+        drains=[DrainInterval("t2", 3.0, 30.0)],
+        limits=[TokenLimit("w", 8.0, 100.0)],
+        recovered_s=45.0,
     )
 
 
@@ -124,22 +131,22 @@
         case "a limit that is passed":
             record.runs = [replace(run, tokens=60) for run in record.runs]
         case "a configuration that went back":
-            record.reads.append(Read("k1", 30.0, b"one"))
+            record.reads.append(ConfigurationRead("k1", 30.0, b"one"))
         case "a content that nobody sent":
-            record.reads.append(Read("k1", 30.0, b"three"))
+            record.reads.append(ConfigurationRead("k1", 30.0, b"three"))
         case "calls that fail after the faults":
             record.calls[4] = replace(record.calls[4], status=502, body=b"")
         case "no calls after the faults":
             del record.calls[4], record.runs[4]
         case "a process that ended by itself":
-            record.exits.append("gateway-1 with 1")
+            record.unexpected_exits.append("gateway-1 with 1")
         case "three runs within a rest":
             _rest(record, arrivals=3)
         case "two runs within a rest":
             _rest(record, arrivals=2)
         case "three runs within a rest over a restart":
             _rest(record, arrivals=3)
-            record.disturbed.append(Disturbed("gateway-1", 10.5, 11.0))
+            record.disruptions.append(Disruption("gateway-1", 10.5, 11.0))
         case "a run after a target said it leaves":
             _leave(record, born_ms=0)
         case "a run at a new life of a target that left":
@@ -152,7 +159,7 @@
             _limit(record, arrivals=12, knows=False)
         case "twelve runs at such a target over a restart of the gateway":
             _limit(record, arrivals=12)
-            record.disturbed.append(Disturbed("gateway-1", 12.0, 12.5))
+            record.disruptions.append(Disruption("gateway-1", 12.0, 12.5))
         case "twelve runs at a target that names its limit no longer":
             _limit(record, arrivals=12, limit="")
         case _:
@@ -178,8 +185,8 @@
     async def play() -> None:
         drains: list[asyncio.Task[None]] = []
         for length_s in (first_s, second_s):
-            event = Event(0.0, Kind.TARGET_DRAIN, length_s - DRAINED_LONGER_S, 0, 0)
-            drains.append(asyncio.create_task(trouble_target(target, event, SoakRecord())))
+            event = SoakEvent(0.0, EventKind.TARGET_DRAIN, length_s - EXTRA_DRAIN_S, 0, 0)
+            drains.append(asyncio.create_task(inject_target_fault(target, event, SoakRecord())))
             await asyncio.wait(drains, timeout=later_s)
         await drains[0]
         await asyncio.wait([drains[1]], timeout=later_s)
@@ -197,8 +204,8 @@
 
 @then("seed {seed:d} draws one plan twice and seed {other:d} another")
 def check_plan(context: Context, seed: int, other: int) -> None:
-    assert draw_plan(seed, 30.0, 1.0) == draw_plan(seed, 30.0, 1.0)
-    assert draw_plan(seed, 30.0, 1.0) != draw_plan(other, 30.0, 1.0)
+    assert generate_events(seed, 30.0, 1.0) == generate_events(seed, 30.0, 1.0)
+    assert generate_events(seed, 30.0, 1.0) != generate_events(other, 30.0, 1.0)
 
 
 @when("seed {seed:d} is soaked for {length_s:d} s")
