--- a/troutstand/testing/arrivals.py
+++ b/troutstand/testing/arrivals.py
@@ -1,4 +1,4 @@
-"""Judge when requests reached targets that had asked to be left alone."""
+"""Find requests that reached targets in spite of a backoff, a shutdown or a rate limit."""
 
 from __future__ import annotations
 
@@ -12,32 +12,32 @@
 
     from troutstand.testing.routedcaller import CallResult
 
-# What is on its way when a target asks for rest may still come for so long, in seconds, and
-# so many requests of one gateway may come in the rest that is left.
-_ON_ITS_WAY_S = 0.5
-_MOST_IN_REST = 2
-# A limit is judged in windows of so many seconds: so many times what it allows may come, and
-# so many requests more. It counts from so many seconds after the target first named it.
+# Requests in flight when a target asks for backoff arrive within this time; after it, one
+# gateway may send at most this many requests until the backoff ends.
+_IN_FLIGHT_S = 0.5
+_MAX_DURING_BACKOFF = 2
+# A window may hold this multiple of the limit, plus a few requests. A limit is enforced
+# from this long after the target first named it.
 _LIMIT_WINDOW_S = 4.0
 _LIMIT_SHARE = 1.5
-_LIMIT_EXTRA = 5
-_LIMIT_SETTLED_S = 1.0
+_LIMIT_EXTRA_COUNT = 5
+_LIMIT_GRACE_S = 1.0
 
 
 @dataclass(frozen=True)
 class Arrival:
-    """Tell of a request that reached a target; times in seconds on the steady clock.
+    """Describe a request that reached a target; times in seconds on the steady clock.
 
     Parameters
     ----------
     backoff_s
-        How long the target asked the gateway not to send; 0 where it took the request.
+        Backoff that the target asked for; 0 if it accepted the request.
     is_leaving
-        Whether the target's answer said that it leaves.
+        Whether the target's response announced that it shuts down.
     born_ms
-        When the target says that it was born; tells its lives apart.
+        Start time that the target reports; identifies its incarnation.
     limit
-        The limit that its answers name then, in requests a second; empty is not told.
+        Limit in the target's responses, in requests per second; empty if none.
     """
 
     request: str
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True)
 class LimitNotice:
-    """Tell of an answer that named its target's limit, as written in requests a second."""
+    """Describe a response that named its target's limit, as text in requests per second."""
 
     request: str
     target: str
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True)
 class LimitViolation:
-    """Tell of a window in which a target got more than its limit allows."""
+    """Describe a window in which a target received more requests than its limit allows."""
 
     target: str
     from_s: float
@@ -71,7 +71,7 @@
 
 @dataclass(frozen=True)
 class BackoffViolation:
-    """Tell of a rest in which one gateway sent more than is allowed."""
+    """Describe a backoff during which one gateway sent more requests than allowed."""
 
     gateway: str
     target: str
@@ -82,21 +82,21 @@
 
 @dataclass(frozen=True)
 class _Sender:
-    """Name a gateway and one life of the target that it sent to."""
+    """Identify a gateway and one incarnation of the target that it sent to."""
 
     gateway: str
     target: str
     born_ms: int
 
 
-def _group(
+def _group_by_sender(
     arrivals: Iterable[Arrival], results: Mapping[str, CallResult]
 ) -> dict[_Sender, list[Arrival]]:
-    """Return the arrivals by gateway and target."""
+    """Group the arrivals by gateway and target incarnation."""
     grouped: dict[_Sender, list[Arrival]] = {}
     for arrival in arrivals:
         if arrival.request not in results:
-            # Its caller was still waiting when the record was closed.
+            # The call was still in flight when the record was closed.
             continue
         sender = _Sender(results[arrival.request].gateway, arrival.target, arrival.born_ms)
         grouped.setdefault(sender, []).append(arrival)
@@ -104,18 +104,20 @@
 
 
 def find_backoff_violations(
-    arrivals: Iterable[Arrival], results: Mapping[str, CallResult], most: int = _MOST_IN_REST
+    arrivals: Iterable[Arrival],
+    results: Mapping[str, CallResult],
+    max_count: int = _MAX_DURING_BACKOFF,
 ) -> list[BackoffViolation]:
-    """Return the rests in which a gateway sent more requests than it may."""
+    """Return the backoffs during which a gateway sent more requests than allowed."""
     found: list[BackoffViolation] = []
-    for sender, group in _group(arrivals, results).items():
-        for asked in (arrival for arrival in group if arrival.backoff_s):
-            first_s, last_s = asked.at_s + _ON_ITS_WAY_S, asked.at_s + asked.backoff_s
+    for sender, group in _group_by_sender(arrivals, results).items():
+        for rejected in (arrival for arrival in group if arrival.backoff_s):
+            first_s, last_s = rejected.at_s + _IN_FLIGHT_S, rejected.at_s + rejected.backoff_s
             count = sum(1 for arrival in group if first_s < arrival.at_s < last_s)
-            if count > most:
+            if count > max_count:
                 found.append(
                     BackoffViolation(
-                        sender.gateway, sender.target, asked.at_s, asked.backoff_s, count
+                        sender.gateway, sender.target, rejected.at_s, rejected.backoff_s, count
                     )
                 )
     return found
@@ -124,11 +126,11 @@
 def find_late_sends(
     arrivals: Iterable[Arrival], results: Mapping[str, CallResult], allowed_s: float
 ) -> list[Arrival]:
-    """Return what was sent to a target by a gateway that knew for so long that it leaves."""
+    """Return requests that a gateway sent later than `allowed_s` after it saw the shutdown."""
     found: list[Arrival] = []
-    for group in _group(arrivals, results).values():
-        told_s = min((a.at_s for a in group if a.is_leaving), default=float("inf"))
-        found += [a for a in group if results[a.request].began_s > told_s + allowed_s]
+    for group in _group_by_sender(arrivals, results).values():
+        announced_s = min((a.at_s for a in group if a.is_leaving), default=float("inf"))
+        found += [a for a in group if results[a.request].began_s > announced_s + allowed_s]
     return found
 
 
@@ -137,55 +139,55 @@
     limit_notices: Iterable[LimitNotice],
     results: Mapping[str, CallResult],
 ) -> list[LimitViolation]:
-    """Return the windows in which targets got too much from gateways that knew their limit."""
-    named: dict[str, list[LimitNotice]] = {}
-    for naming in limit_notices:
-        named.setdefault(naming.target, []).append(naming)
-    came: dict[str, list[Arrival]] = {}
+    """Return the windows in which gateways that knew a target's limit exceeded it."""
+    notices_by_target: dict[str, list[LimitNotice]] = {}
+    for notice in limit_notices:
+        notices_by_target.setdefault(notice.target, []).append(notice)
+    arrived: dict[str, list[Arrival]] = {}
     for arrival in arrivals:
-        came.setdefault(arrival.target, []).append(arrival)
+        arrived.setdefault(arrival.target, []).append(arrival)
     return [
         over
-        for target, some in came.items()
-        for spell in _list_spells(some)
-        for over in _find_over_limit(spell, named.get(target, []), results)
+        for target, group in arrived.items()
+        for period in _list_limit_periods(group)
+        for over in _find_over_limit(period, notices_by_target.get(target, []), results)
     ]
 
 
-def _list_spells(arrivals: list[Arrival]) -> list[list[Arrival]]:
-    """Return the runs of arrivals at one target in which it kept to one limit."""
+def _list_limit_periods(arrivals: list[Arrival]) -> list[list[Arrival]]:
+    """Split the arrivals at one target into periods of an unchanged limit."""
     ordered = sorted(arrivals, key=lambda arrival: arrival.at_s)
-    spells = groupby(ordered, key=lambda arrival: arrival.limit)
-    return [list(spell) for limit, spell in spells if limit]
+    periods = groupby(ordered, key=lambda arrival: arrival.limit)
+    return [list(period) for limit, period in periods if limit]
 
 
 def _find_over_limit(
-    spell: list[Arrival], limit_notices: list[LimitNotice], results: Mapping[str, CallResult]
+    period: list[Arrival], limit_notices: list[LimitNotice], results: Mapping[str, CallResult]
 ) -> list[LimitViolation]:
-    from_s, to_s, limit = spell[0].at_s, spell[-1].at_s, spell[0].limit
-    told = [n for n in limit_notices if from_s <= n.at_s <= to_s and n.limit == limit]
-    settled_s = min((n.at_s for n in told), default=float("inf")) + _LIMIT_SETTLED_S
-    knew_s: dict[str, float] = {}
-    for naming in sorted(told, key=lambda naming: naming.at_s):
-        if naming.request in results:
-            gateway = results[naming.request].gateway
-            knew_s.setdefault(gateway, max(settled_s, naming.at_s + _ON_ITS_WAY_S))
-    never_s = float("inf")
+    from_s, to_s, limit = period[0].at_s, period[-1].at_s, period[0].limit
+    notices = [n for n in limit_notices if from_s <= n.at_s <= to_s and n.limit == limit]
+    enforced_from_s = min((n.at_s for n in notices), default=float("inf")) + _LIMIT_GRACE_S
+    known_from_s: dict[str, float] = {}
+    for notice in sorted(notices, key=lambda notice: notice.at_s):
+        if notice.request in results:
+            gateway = results[notice.request].gateway
+            known_from_s.setdefault(gateway, max(enforced_from_s, notice.at_s + _IN_FLIGHT_S))
+    unknown_s = float("inf")
     times = [
         arrival.at_s
-        for arrival in spell
+        for arrival in period
         if arrival.request in results
-        and arrival.at_s >= knew_s.get(results[arrival.request].gateway, never_s)
+        and arrival.at_s >= known_from_s.get(results[arrival.request].gateway, unknown_s)
     ]
-    allowed = int(_LIMIT_SHARE * float(limit) * _LIMIT_WINDOW_S) + _LIMIT_EXTRA
+    allowed = int(_LIMIT_SHARE * float(limit) * _LIMIT_WINDOW_S) + _LIMIT_EXTRA_COUNT
     return [
-        LimitViolation(spell[0].target, from_s, count, allowed)
+        LimitViolation(period[0].target, from_s, count, allowed)
         for from_s, count in _count_windows(times)
         if count > allowed
     ]
 
 
 def _count_windows(times: list[float]) -> Iterable[tuple[float, int]]:
-    """Return how many of some ordered times lie in the window that begins with each of them."""
+    """Yield, for each of the sorted times, the count in the window that it starts."""
     for first, from_s in enumerate(times):
         yield from_s, bisect_left(times, from_s + _LIMIT_WINDOW_S) - first
--- a/troutstand/testing/background.py
+++ b/troutstand/testing/background.py
@@ -1,4 +1,4 @@
-"""Run an event loop in a thread, so that step after step can use what lives on it."""
+"""Run an event loop in a background thread that outlives single test steps."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 T = TypeVar("T")
 
-_STEP_S = 90.0
+_RUN_TIMEOUT_S = 90.0
 
 
 class BackgroundLoop:
-    """Hold a loop that runs until it is closed."""
+    """Run an event loop in a thread until it is closed."""
 
     def __init__(self) -> None:
         self.loop = asyncio.new_event_loop()
@@ -23,11 +23,11 @@
         self._thread.start()
 
     def run(self, coroutine: Coroutine[None, None, T]) -> T:
-        """Run a coroutine on the loop and return its result."""
-        return asyncio.run_coroutine_threadsafe(coroutine, self.loop).result(_STEP_S)
+        """Run a coroutine on the loop and return its result; raise TimeoutError if it hangs."""
+        return asyncio.run_coroutine_threadsafe(coroutine, self.loop).result(_RUN_TIMEOUT_S)
 
     def close(self) -> None:
-        """Stop the loop."""
+        """Stop the loop and join its thread."""
         self.loop.call_soon_threadsafe(self.loop.stop)
         self._thread.join()
         self.loop.close()
--- a/troutstand/testing/behindproxy.py
+++ b/troutstand/testing/behindproxy.py
@@ -1,4 +1,4 @@
-"""Put the processes of a routed site behind proxies that can harm their links."""
+"""Route the links of a routed site's processes through fault proxies."""
 
 from __future__ import annotations
 
@@ -13,27 +13,27 @@
 if TYPE_CHECKING:
     from troutstand.testing.routedsite import HostProcess, RoutedSite
 
-# Others know a process by the number of its own address and this.
-_OFFSET = 100
+# Added to the last octet of a process's address to form the address that it advertises.
+_PROXY_OCTET_OFFSET = 100
 _LINK_PORTS = {RoutingRole.keeper: FIRST_PORT, RoutingRole.scheduler: FIRST_PORT + 1}
 
 
 async def put_behind_proxy(process: HostProcess) -> FaultProxy | None:
-    """Let others reach a process only through a proxy of its own; none takes no links."""
+    """Put a process behind a proxy of its own; return None if its role accepts no links."""
     settings = process.settings
-    net, _, last = settings.bind_ip.rpartition(".")
-    known_ip = f"{net}.{int(last) + _OFFSET}"
-    process.settings = msgspec.structs.replace(settings, ip=known_ip)
+    network, _, last = settings.bind_ip.rpartition(".")
+    advertised_ip = f"{network}.{int(last) + _PROXY_OCTET_OFFSET}"
+    process.settings = msgspec.structs.replace(settings, ip=advertised_ip)
     port = _LINK_PORTS.get(settings.role)
     if port is None:
         return None
-    proxy = FaultProxy((known_ip, port), (settings.bind_ip, port))
+    proxy = FaultProxy((advertised_ip, port), (settings.bind_ip, port))
     await proxy.start()
     return proxy
 
 
 async def put_all_behind_proxies(site: RoutedSite) -> dict[str, FaultProxy]:
-    """Let all processes of a site that is not started reach each other through proxies."""
+    """Put all processes of a site behind proxies, before the site is started."""
     proxies: dict[str, FaultProxy] = {}
     for process in site.processes.values():
         proxy = await put_behind_proxy(process)
--- a/troutstand/testing/coldstart.py
+++ b/troutstand/testing/coldstart.py
@@ -1,4 +1,4 @@
-"""Let gateways find a scheduler after all processes began anew, on a clock of its own."""
+"""Simulate how gateways select a scheduler after all processes restart, on a virtual clock."""
 
 from __future__ import annotations
 
@@ -16,77 +16,77 @@
 )
 
 _STEP_S = 0.01
-_WATCH_S = 0.1
-_PERIOD_S = 0.1
-# What a heartbeat and its answer take, in seconds: hosts of one and of several failure domains.
-_LATENCIES_S = (0.002, 0.04)
+_CHECK_PERIOD_S = 0.1
+_HEARTBEAT_PERIOD_S = 0.1
+# Bounds of a heartbeat's round trip, from one failure domain to several.
+_ROUND_TRIP_S = (0.002, 0.04)
 
 
 @dataclass
 class SimulatedScheduler:
-    """Follow one scheduler that begins: which gateways ask it."""
+    """Track which gateways are attached to one starting scheduler."""
 
     ready_s: float
-    asked_by: set[int] = field(default_factory=set)
-    # Whom each gateway asks, as it told this one last.
-    asks: dict[int, str] = field(default_factory=dict)
+    attached_gateways: set[int] = field(default_factory=set)
+    # The scheduler that each gateway uses, by its last heartbeat to this one.
+    schedulers_in_use: dict[int, str] = field(default_factory=dict)
 
     def answer(self, now_s: float) -> Attached:
-        """Answer a heartbeat."""
-        told = [name for name in self.asks.values() if name]
-        most = max(sorted(set(told)), key=told.count, default="")
+        """Make the reply to a heartbeat."""
+        reported = [name for name in self.schedulers_in_use.values() if name]
+        most_used = max(sorted(set(reported)), key=reported.count, default="")
         return Attached(
             incarnation="1",
-            period_s=_PERIOD_S,
-            attached=len(self.asked_by),
+            period_s=_HEARTBEAT_PERIOD_S,
+            attached=len(self.attached_gateways),
             is_ready=now_s >= self.ready_s,
             ready_s=max(0.0, now_s - self.ready_s),
-            most_asked=most,
-            most_asked_by=told.count(most) if most else 0,
+            most_asked=most_used,
+            most_asked_by=reported.count(most_used) if most_used else 0,
         )
 
 
 @dataclass
 class SimulatedGateway:
-    """Follow one gateway that begins: whom it watches and asks."""
+    """Track the scheduler health and the choice of one starting gateway."""
 
     number: int
-    judges_s: float
-    watches: dict[ProcessId, SchedulerHealth]
-    beats_s: dict[ProcessId, float]
+    next_check_s: float
+    health: dict[ProcessId, SchedulerHealth]
+    next_heartbeat_s: dict[ProcessId, float]
     current: Decider = LocalDecider.LOCAL
-    # Answers that are on their way, by when they come.
-    coming: list[tuple[float, ProcessId, Attached]] = field(default_factory=list)
+    # Replies in flight, with their arrival times.
+    pending_replies: list[tuple[float, ProcessId, Attached]] = field(default_factory=list)
 
 
 class ColdStartSimulation:
-    """Play the first seconds of some gateways and schedulers.
+    """Simulate the first seconds of gateways and schedulers.
 
     Parameters
     ----------
     ready_s
-        When each scheduler can serve, in seconds.
+        When each scheduler is ready to serve, in seconds.
     """
 
     def __init__(self, seed: int, gateways: int, ready_s: list[float]) -> None:
-        self._chance = random.Random(seed)
+        self._rng = random.Random(seed)
         self._schedulers = {
             ProcessId(f"scheduler-{number}"): SimulatedScheduler(at_s)
             for number, at_s in enumerate(ready_s)
         }
-        self._gateways = [self._begin(number) for number in range(gateways)]
+        self._gateways = [self._make_gateway(number) for number in range(gateways)]
 
-    def _begin(self, number: int) -> SimulatedGateway:
-        uniform = self._chance.uniform
+    def _make_gateway(self, number: int) -> SimulatedGateway:
+        uniform = self._rng.uniform
         return SimulatedGateway(
             number,
-            uniform(0.0, _WATCH_S),
+            uniform(0.0, _CHECK_PERIOD_S),
             {name: SchedulerHealth() for name in self._schedulers},
-            {name: uniform(0.0, _PERIOD_S) for name in self._schedulers},
+            {name: uniform(0.0, _HEARTBEAT_PERIOD_S) for name in self._schedulers},
         )
 
     def play(self, length_s: float) -> list[set[str]]:
-        """Return which schedulers are asked in each step of 0.01 s."""
+        """Return the schedulers in use in each step of 0.01 s."""
         asked: list[set[str]] = []
         for step in range(round(length_s / _STEP_S)):
             for gateway in self._gateways:
@@ -96,51 +96,53 @@
         return asked
 
     def _step(self, gateway: SimulatedGateway, now_s: float) -> None:
-        for due in [c for c in gateway.coming if c[0] <= now_s]:
-            gateway.coming.remove(due)
-            gateway.watches[due[1]].update(due[2], now_s)
-            if isinstance(gateway.current, LocalDecider) and due[2].is_ready:
-                gateway.judges_s = now_s
-        if now_s >= gateway.judges_s:
-            gateway.judges_s = now_s + _WATCH_S
-            self._judge(gateway, now_s)
-        for name, watch in gateway.watches.items():
-            if watch.wake.is_set() or now_s >= gateway.beats_s[name]:
-                watch.wake.clear()
+        for reply in [c for c in gateway.pending_replies if c[0] <= now_s]:
+            gateway.pending_replies.remove(reply)
+            gateway.health[reply[1]].update(reply[2], now_s)
+            if isinstance(gateway.current, LocalDecider) and reply[2].is_ready:
+                gateway.next_check_s = now_s
+        if now_s >= gateway.next_check_s:
+            gateway.next_check_s = now_s + _CHECK_PERIOD_S
+            self._select_scheduler(gateway, now_s)
+        for name, scheduler_health in gateway.health.items():
+            if scheduler_health.wake.is_set() or now_s >= gateway.next_heartbeat_s[name]:
+                scheduler_health.wake.clear()
                 is_current = gateway.current == name
-                period_s = watch.period_s if is_current else watch.standby_period_s
-                gateway.beats_s[name] = now_s + period_s * self._chance.uniform(0.9, 1.1)
-                self._beat(gateway, name, now_s)
-
-    def _judge(self, gateway: SimulatedGateway, now_s: float) -> None:
-        decider = choose_decider(gateway.watches, gateway.current, now_s)
+                period_s = (
+                    scheduler_health.period_s if is_current else scheduler_health.standby_period_s
+                )
+                gateway.next_heartbeat_s[name] = now_s + period_s * self._rng.uniform(0.9, 1.1)
+                self._send_heartbeat(gateway, name, now_s)
+
+    def _select_scheduler(self, gateway: SimulatedGateway, now_s: float) -> None:
+        decider = choose_decider(gateway.health, gateway.current, now_s)
         if decider != gateway.current:
             gateway.current = decider
             if not isinstance(decider, LocalDecider):
-                gateway.watches[decider].record_switch(now_s)
-                self._beat(gateway, decider, now_s)
-        update_standby_periods(gateway.watches, gateway.current, now_s)
+                gateway.health[decider].record_switch(now_s)
+                self._send_heartbeat(gateway, decider, now_s)
+        update_standby_periods(gateway.health, gateway.current, now_s)
 
-    def _beat(self, gateway: SimulatedGateway, name: ProcessId, now_s: float) -> None:
+    def _send_heartbeat(self, gateway: SimulatedGateway, name: ProcessId, now_s: float) -> None:
         scheduler = self._schedulers[name]
-        is_asked = gateway.current == name
-        gateway.watches[name].is_attached = is_asked
-        if is_asked:
-            scheduler.asked_by.add(gateway.number)
+        is_current = gateway.current == name
+        gateway.health[name].is_attached = is_current
+        if is_current:
+            scheduler.attached_gateways.add(gateway.number)
         else:
-            scheduler.asked_by.discard(gateway.number)
-        is_alone = isinstance(gateway.current, LocalDecider)
-        scheduler.asks[gateway.number] = "" if is_alone else str(gateway.current)
-        came_s = now_s + self._chance.uniform(*_LATENCIES_S)
-        gateway.coming.append((came_s, name, scheduler.answer(now_s)))
+            scheduler.attached_gateways.discard(gateway.number)
+        is_local = isinstance(gateway.current, LocalDecider)
+        scheduler.schedulers_in_use[gateway.number] = "" if is_local else str(gateway.current)
+        arrival_s = now_s + self._rng.uniform(*_ROUND_TRIP_S)
+        gateway.pending_replies.append((arrival_s, name, scheduler.answer(now_s)))
 
 
 def measure_local_s(asked: list[set[str]], ready_s: list[float]) -> float:
-    """Return the seconds from the first scheduler that was ready to the first that was asked."""
+    """Return the seconds from the first ready scheduler to the first one in use."""
     first = next(step for step, names in enumerate(asked) if names)
     return _STEP_S * first - min(ready_s)
 
 
 def measure_overlap_s(asked: list[set[str]]) -> float:
-    """Return for how many seconds more than one scheduler was asked."""
+    """Return for how many seconds more than one scheduler was in use."""
     return _STEP_S * sum(1 for names in asked if len(names) > 1)
--- a/troutstand/testing/demo.py
+++ b/troutstand/testing/demo.py
@@ -1,4 +1,4 @@
-"""Run a small site on loopback under mixed load and print what came of it."""
+"""Run a small site on loopback under mixed load and print the results."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def write_control_settings(site: Site) -> Path:
-    """Write the settings of troutstandctl for a site."""
+    """Write the troutstandctl settings of a site and return their path."""
     token = site.folder / "operator-token"
     token.write_text(OPERATOR_TOKEN)
     processes = [Process(name, a.ip, a.port) for name, a in site.admins.items()]
@@ -56,14 +56,14 @@
     )
     wrong = [r for r in results if r.is_complete and not r.is_correct]
     unanswered = [r for r in results if not r.is_correct]
-    print(f"answers that were not whole or not the caller's own: {len(wrong)}")
-    promises = commands.ran_twice + commands.false_not_run + commands.lost
-    return not wrong and not unanswered and promises == 0
+    print(f"incomplete or mixed-up responses: {len(wrong)}")
+    violations = commands.ran_twice + commands.false_not_run + commands.lost
+    return not wrong and not unanswered and violations == 0
 
 
 @app.default
 def run(*, mix: str = "irrigation", rate: float = 40.0, seconds: float = 8.0, seed: int = 1) -> int:
-    """Run the demo; exit 0 only where every answer was whole and its caller's own."""
+    """Run the demo; exit 0 only if every response was complete and correct."""
     site = Site(Path(tempfile.mkdtemp(prefix="troutstand-demo-")))
     site.prepare()
     try:
@@ -75,19 +75,17 @@
         print(f"sending {len(drawn)} requests of the {mix} mix over {seconds:g} s, seed {seed}")
         load = LoadGenerator([site.callers[name] for name in site.entries])
         results = asyncio.run(load.run(drawn))
-        in_order = _print_results(site, results)
+        passed = _print_results(site, results)
     finally:
         site.stop()
-    print("\nthe processes were started as")
+    print("\ncommands of the processes:")
     for process in site.processes.values():
         print("  " + " ".join(["python", *process.command[1:]]))
-    print("the time line lies in the logs; to read it:")
+    print("to read the timeline and the trace from the logs:")
     print(f"  .venv/bin/troutstandctl timeline --settings {control}")
     print(f"  .venv/bin/troutstandctl trace --settings {control} --output trace.json")
-    print(
-        "every answer was whole and its caller's own" if in_order else "NOT every answer was whole"
-    )
-    return 0 if in_order else 1
+    print("every response was complete and correct" if passed else "NOT every response was correct")
+    return 0 if passed else 1
 
 
 if __name__ == "__main__":
--- a/troutstand/testing/engine.py
+++ b/troutstand/testing/engine.py
@@ -1,4 +1,4 @@
-"""Stand in for a model engine: continuous batching, a prefix cache, faults on order."""
+"""Simulate a model engine: continuous batching, a prefix cache and injected faults."""
 
 from __future__ import annotations
 
@@ -16,17 +16,16 @@
 from troutstand.backends.base import CacheEvents, LoadReport, Order
 from troutstand.core.prefix import PrefixCache, count_tokens, hash_prefixes
 
-app = App(name="engine", help="Stand in for a model engine.")
+app = App(name="engine", help="Simulate a model engine.")
 
-_REPORT_EVERY_S = 2.0
-_RECENT_REQUESTS = 100_000
-# The last characters of a prompt come back in the answer, so that its caller
-# knows it for its own.
+_REPORT_PERIOD_S = 2.0
+_MAX_STREAMS = 100_000
+# The response repeats these last characters of the prompt, so that a caller can check it.
 NONCE_CHARACTERS = 12
 
 
 class EngineSettings(msgspec.Struct, frozen=True):
-    """Describe one stand-in engine."""
+    """Hold the settings of one simulated engine."""
 
     name: str
     ip: str
@@ -41,7 +40,7 @@
 
 
 class Fault(msgspec.Struct, frozen=True):
-    """Order how the engine misbehaves from now on."""
+    """Describe how the engine misbehaves from now on."""
 
     slowdown: float = 1.0
     stall: bool = False
@@ -50,24 +49,24 @@
     shuffle: bool = False
     foreign: bool = False
     duplicate: bool = False
-    # A prompt that holds this text ends the process as it begins to run.
+    # The process exits when it starts a prompt that contains this text.
     deadly_text: str = ""
-    # Turns every request away and asks for so many seconds of rest; 0 turns none away.
+    # If not 0, rejects every request with this Retry-After, in seconds.
     rest_s: float = 0.0
-    # The limit that every answer names, in requests a second; empty is not told.
+    # Limit sent in every response, in requests per second; empty sends none.
     limit: str = ""
-    # Whether every answer says that the engine leaves.
+    # Whether every response announces a shutdown.
     tells_leaving: bool = False
 
     def write_headers(self) -> dict[str, str]:
-        """Return the headers in which the engine speaks of itself."""
+        """Return the headers that announce the limit and the shutdown."""
         limit = {"X-Target-Limit": self.limit} if self.limit else {}
         leaving = {"X-Target-Leaving": "1"} if self.tells_leaving else {}
         return limit | leaving
 
 
 class EngineRecord(msgspec.Struct, frozen=True):
-    """Tell what the engine did for one request; the tests' oracle."""
+    """Record one step of a request for the tests to check against."""
 
     at_s: float
     request: str
@@ -81,7 +80,7 @@
 
 @dataclass
 class Stream:
-    """Keep one request's progress, so that it can be resumed."""
+    """Track one request's progress, so that it can be resumed."""
 
     request: str
     model: str
@@ -101,7 +100,7 @@
     settings: EngineSettings
     fault: Fault = field(default_factory=Fault)
     running: dict[str, Stream] = field(default_factory=dict)
-    known: dict[str, Stream] = field(default_factory=dict)
+    streams: dict[str, Stream] = field(default_factory=dict)
     epoch: int = 0
     orders: list[Order] = field(default_factory=list)
     waiting: int = 0
@@ -115,57 +114,57 @@
         self._records = Path(path).open("ab", buffering=0) if path else None
 
     def record(self, record: EngineRecord) -> None:
-        """Write down what was done, before it can be seen."""
+        """Append a record; called before the effect is visible to callers."""
         if self._records:
             self._records.write(msgspec.json.encode(record) + b"\n")
 
     def make_app(self) -> web.Application:
-        """Make the engine's application."""
+        """Make the engine's HTTP application."""
         application = web.Application(client_max_size=2**28)
         application.router.add_post("/v1/chat/completions", self.complete)
         application.router.add_post("/v1/completions", self.complete)
         application.router.add_delete("/engine/requests/{request}", self.cancel)
-        application.router.add_get("/engine/load", self.tell_load)
-        application.router.add_get("/engine/cache-events", self.tell_cache_events)
-        application.router.add_post("/engine/orders", self.take_order)
-        application.router.add_post("/test/fault", self.take_fault)
+        application.router.add_get("/engine/load", self.get_load)
+        application.router.add_get("/engine/cache-events", self.get_cache_events)
+        application.router.add_post("/engine/orders", self.accept_order)
+        application.router.add_post("/test/fault", self.set_fault)
         return application
 
     async def complete(self, http: web.Request) -> web.StreamResponse:
-        """Answer a completion, from its start or from where it broke off."""
-        plain: dict[str, Any] = msgspec.json.decode(await http.read())
+        """Stream a completion from its start, or resume it after the last event received."""
+        payload: dict[str, Any] = msgspec.json.decode(await http.read())
         request = http.headers.get("X-Request-Id", "none")
         if self.fault.rest_s:
             self.record(EngineRecord(time.time(), request, "turned_away"))
             headers = {"Retry-After": f"{self.fault.rest_s:g}", **self.fault.write_headers()}
             return web.Response(status=503, headers=headers)
         last = http.headers.get("Last-Event-ID")
-        if last is not None and request in self.known:
-            stream = self.known[request]
+        if last is not None and request in self.streams:
+            stream = self.streams[request]
             self.record(EngineRecord(time.time(), request, "resumed"))
             return await self._send(http, stream, int(last) + 1)
-        stream = self._open(request, plain, http.path.endswith("/chat/completions"))
+        stream = self._open(request, payload, http.path.endswith("/chat/completions"))
         self.waiting += 1
         async with self._slots:
             self.waiting -= 1
             self.running[request] = stream
             try:
-                return await self._serve(http, stream, plain)
+                return await self._serve(http, stream, payload)
             finally:
                 self.running.pop(request, None)
 
-    def _open(self, request: str, plain: dict[str, Any], is_chat: bool) -> Stream:
-        total = plain.get("max_tokens") or plain.get("max_completion_tokens") or 16
-        stream = Stream(request, plain["model"], total, is_chat, 0, 0)
-        self.known[request] = stream
-        while len(self.known) > _RECENT_REQUESTS:
-            self.known.pop(next(iter(self.known)))
+    def _open(self, request: str, payload: dict[str, Any], is_chat: bool) -> Stream:
+        total = payload.get("max_tokens") or payload.get("max_completion_tokens") or 16
+        stream = Stream(request, payload["model"], total, is_chat, 0, 0)
+        self.streams[request] = stream
+        while len(self.streams) > _MAX_STREAMS:
+            self.streams.pop(next(iter(self.streams)))
         return stream
 
     async def _serve(
-        self, http: web.Request, stream: Stream, plain: dict[str, Any]
+        self, http: web.Request, stream: Stream, payload: dict[str, Any]
     ) -> web.StreamResponse:
-        text = _read_text(plain)
+        text = _read_text(payload)
         prefixes = hash_prefixes(stream.model, text)
         stream.prompt_tokens = count_tokens(text)
         stream.nonce = text[-NONCE_CHARACTERS:]
@@ -203,11 +202,11 @@
             last = min(stream.total, number + self.settings.tokens_an_event)
             next_s += step_s * (last - number)
             await asyncio.sleep(max(0.0, next_s - time.monotonic()))
-            if self._should_cut(number):
+            if self._consume_cut(number):
                 assert http.transport is not None
                 http.transport.abort()
                 return response
-            events = [self._make_token(stream, n) for n in range(number, last)]
+            events = [self._make_token_event(stream, n) for n in range(number, last)]
             if self.fault.shuffle:
                 events = events[::-1]
             if self.fault.duplicate:
@@ -218,25 +217,25 @@
         if stream.cancelled:
             self.record(EngineRecord(time.time(), stream.request, "cancelled"))
             return response
-        await response.write(self._make_end(stream))
+        await response.write(self._make_end_events(stream))
         self.record(EngineRecord(time.time(), stream.request, "ended", sent_tokens=stream.total))
         return response
 
-    def _should_cut(self, number: int) -> bool:
+    def _consume_cut(self, number: int) -> bool:
         fault = self.fault
         if fault.cut_after is None or number < fault.cut_after or fault.cut_times <= 0:
             return False
         self.fault = msgspec.structs.replace(fault, cut_times=fault.cut_times - 1)
         return True
 
-    def _make_token(self, stream: Stream, number: int) -> bytes:
-        word = f"{stream.nonce}-{number} "
-        piece = f'"delta":{{"content":"{word}"}}' if stream.is_chat else f'"text":"{word}"'
-        return self._make_event(stream, number, f'"choices":[{{"index":0,{piece}}}]')
+    def _make_token_event(self, stream: Stream, number: int) -> bytes:
+        token = f"{stream.nonce}-{number} "
+        delta = f'"delta":{{"content":"{token}"}}' if stream.is_chat else f'"text":"{token}"'
+        return self._make_event(stream, number, f'"choices":[{{"index":0,{delta}}}]')
 
-    def _make_end(self, stream: Stream) -> bytes:
-        piece = '"delta":{}' if stream.is_chat else '"text":""'
-        last = f'"choices":[{{"index":0,{piece},"finish_reason":"stop"}}]'
+    def _make_end_events(self, stream: Stream) -> bytes:
+        delta = '"delta":{}' if stream.is_chat else '"text":""'
+        last = f'"choices":[{{"index":0,{delta},"finish_reason":"stop"}}]'
         total = stream.prompt_tokens + stream.total
         usage = (
             f'"choices":[],"usage":{{"prompt_tokens":{stream.prompt_tokens},'
@@ -259,24 +258,24 @@
 
     async def cancel(self, http: web.Request) -> web.Response:
         """Stop a running request."""
-        stream = self.known.get(http.match_info["request"])
+        stream = self.streams.get(http.match_info["request"])
         if stream:
             stream.cancelled = True
         return web.json_response({})
 
-    async def tell_load(self, _: web.Request) -> web.Response:
-        """Tell a load that is up to two seconds old."""
+    async def get_load(self, _: web.Request) -> web.Response:
+        """Return a load report that is up to two seconds old."""
         now_s = time.time()
-        if now_s - self._report.at_s >= _REPORT_EVERY_S:
+        if now_s - self._report.at_s >= _REPORT_PERIOD_S:
             self._report = LoadReport(len(self.running), self.waiting, now_s)
         return web.Response(body=msgspec.json.encode(self._report))
 
-    async def tell_cache_events(self, _: web.Request) -> web.Response:
-        """Tell cache events; this stand-in loses them all, as engines may."""
+    async def get_cache_events(self, _: web.Request) -> web.Response:
+        """Return no cache events and report them as lost, as engines may."""
         return web.Response(body=msgspec.json.encode(CacheEvents(0, True)))
 
-    async def take_order(self, http: web.Request) -> web.Response:
-        """Take an order unless its epoch is not above every earlier one."""
+    async def accept_order(self, http: web.Request) -> web.Response:
+        """Accept an order whose epoch is above every earlier one; answer 409 otherwise."""
         order = msgspec.json.decode(await http.read(), type=Order)
         if order.epoch <= self.epoch:
             return web.Response(status=409)
@@ -284,16 +283,16 @@
         self.orders.append(order)
         return web.Response()
 
-    async def take_fault(self, http: web.Request) -> web.Response:
-        """Misbehave as ordered."""
+    async def set_fault(self, http: web.Request) -> web.Response:
+        """Install the fault in the request body."""
         self.fault = msgspec.json.decode(await http.read(), type=Fault)
         return web.Response()
 
 
-def _read_text(plain: dict[str, Any]) -> str:
-    if "prompt" in plain:
-        return str(plain["prompt"])
-    return "\n".join(f"{m['role']}: {m.get('content') or ''}" for m in plain["messages"])
+def _read_text(payload: dict[str, Any]) -> str:
+    if "prompt" in payload:
+        return str(payload["prompt"])
+    return "\n".join(f"{m['role']}: {m.get('content') or ''}" for m in payload["messages"])
 
 
 async def serve_app(application: web.Application, ip: str, port: int) -> None:
@@ -306,7 +305,7 @@
 
 @app.default
 def run(settings: Path) -> None:
-    """Run the stand-in that a settings file describes."""
+    """Run the engine that a settings file describes."""
     loaded = msgspec.json.decode(settings.read_bytes(), type=EngineSettings)
     engine = Engine(loaded)
     asyncio.run(serve_app(engine.make_app(), loaded.ip, loaded.port))
--- a/troutstand/testing/faultystreams.py
+++ b/troutstand/testing/faultystreams.py
@@ -1,4 +1,4 @@
-"""Answer with event streams that leave a caller with part of an answer."""
+"""Respond with event streams that are cut off or resumed incorrectly."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
     from troutstand.testing.standins import Head
 
 EVENT_COUNT = 4
-# What stands behind the last whole event where a stream ends within the next one.
+# The bytes of the incomplete event at the end of a stream that was cut off.
 PARTIAL_EVENT = b"id: 9"
 _PAUSE_S = 0.9
-_PIECE_S = 0.03
+_CHUNK_DELAY_S = 0.03
 _EVENTS_TYPE = "text/event-stream"
 _CHUNKED = "Transfer-Encoding: chunked"
 
 
 class StreamFault(Enum):
-    """Say what is odd about a site's event streams."""
+    """Name the fault of a site's event streams."""
 
     CUT_ONCE = "break off once"
     PAUSE = "pause for 0.9 s"
@@ -33,19 +33,19 @@
 
 
 class FaultyStreams:
-    """Write the answers of a site's targets; the first of them differs from the others."""
+    """Write the responses of a site's targets; some faults affect only the first."""
 
-    def __init__(self, oddity: StreamFault) -> None:
-        self._oddity = oddity
-        self._answers = 0
+    def __init__(self, fault: StreamFault) -> None:
+        self._fault = fault
+        self._response_count = 0
 
     async def answer(self, target: str, head: Head, writer: asyncio.StreamWriter) -> bool:
-        """Write one answer."""
-        self._answers += 1
-        is_first = self._answers == 1
+        """Write one response and return whether the connection stays open."""
+        self._response_count += 1
+        is_first = self._response_count == 1
         request = head.headers["x-request-id"]
         events = self._make_events(request, head, is_first)
-        match self._oddity:
+        match self._fault:
             case StreamFault.ENDS_WITHIN_EVENT:
                 self._write_head(writer, target, request, framing="")
                 writer.write(events[0] + PARTIAL_EVENT)
@@ -56,11 +56,11 @@
                 await writer.drain()
                 return True
             case StreamFault.OTHER_CASE if not is_first:
-                self._write_head(writer, target, request, kind="Text/Event-Stream")
+                self._write_head(writer, target, request, content_type="Text/Event-Stream")
             case _:
                 self._write_head(writer, target, request)
         await _write_chunk(writer, events[0])
-        if self._oddity is StreamFault.PAUSE:
+        if self._fault is StreamFault.PAUSE:
             await asyncio.sleep(_PAUSE_S)
         elif is_first:
             await _write_chunk(writer, PARTIAL_EVENT)
@@ -71,10 +71,10 @@
         return True
 
     def _make_events(self, request: str, head: Head, is_first: bool) -> list[bytes]:
-        resumed = int(head.headers.get("last-event-id") or 0)
-        after = 0 if self._oddity is StreamFault.START_AGAIN else resumed
+        last_event = int(head.headers.get("last-event-id") or 0)
+        after = 0 if self._fault is StreamFault.START_AGAIN else last_event
         events = [make_event(request, number) for number in range(after + 1, EVENT_COUNT + 1)]
-        if self._oddity is StreamFault.NO_IDS:
+        if self._fault is StreamFault.NO_IDS:
             return [event.partition(b"\n")[2] for event in events]
         return events
 
@@ -84,14 +84,14 @@
         target: str,
         request: str,
         status: str = "200 OK",
-        kind: str = _EVENTS_TYPE,
+        content_type: str = _EVENTS_TYPE,
         framing: str = _CHUNKED,
     ) -> None:
         lines = [
             f"HTTP/1.1 {status}",
             f"X-Request-Id: {request}",
             f"X-Answer-Seal: {target}",
-            f"Content-Type: {kind}",
+            f"Content-Type: {content_type}",
         ]
         if framing:
             lines.append(framing)
@@ -101,4 +101,4 @@
 async def _write_chunk(writer: asyncio.StreamWriter, data: bytes) -> None:
     writer.write(f"{len(data):x}\r\n".encode() + data + b"\r\n")
     await writer.drain()
-    await asyncio.sleep(_PIECE_S)
+    await asyncio.sleep(_CHUNK_DELAY_S)
--- a/troutstand/testing/load.py
+++ b/troutstand/testing/load.py
@@ -1,4 +1,4 @@
-"""Send a load to a site's entry processes and check every answer."""
+"""Send requests to a site's entry processes and check every response."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 _DONE = b"data: [DONE]"
 _DATA = b"data: "
 _TIMEOUT_S = 60.0
-_RESEND_S = 0.2
+_RETRY_DELAY_S = 0.2
 
 
 class _Delta(msgspec.Struct):
@@ -41,14 +41,14 @@
 
 
 class ChatCallMessage(msgspec.Struct):
-    """Carry a message to send."""
+    """Encode one chat message."""
 
     role: str
     content: str
 
 
 class ChatCall(msgspec.Struct):
-    """Carry a chat completion to send."""
+    """Encode a chat completion request."""
 
     model: str
     messages: list[ChatCallMessage]
@@ -58,10 +58,10 @@
 
 @dataclass
 class Result:
-    """Tell how one request ended for its caller.
+    """Record how one request ended for its caller.
 
-    `whole` says that the caller took it for a whole answer, `own` that it was
-    whole indeed and its own.
+    `is_complete` means that the stream ended regularly, `is_correct` that its text also matches
+    the request.
     """
 
     drawn: DrawnRequest
@@ -78,28 +78,28 @@
 
 
 def make_expected_answer(drawn: DrawnRequest) -> str:
-    """Return the answer that the stand-in engine gives to a request."""
+    """Return the text that the simulated engine generates for a request."""
     return "".join(f"{drawn.nonce}-{number} " for number in range(drawn.answer_tokens))
 
 
 @dataclass
 class LoadGenerator:
-    """Send drawn requests at their times to the entry processes in turn.
+    """Send requests at their times to the entry processes, round robin.
 
     Parameters
     ----------
     max_resends
-        How often a command, or a request whose connection broke, is sent
-        again with its key to the next entry process.
+        How often a command, or a request whose connection failed, is retried
+        with the same idempotency key at the next entry process.
     """
 
     entries: Sequence[Address]
     max_resends: int = 0
     results: list[Result] = field(default_factory=list)
-    _turn: itertools.count[int] = field(default_factory=itertools.count)
+    _round_robin: itertools.count[int] = field(default_factory=itertools.count)
 
     async def run(self, drawn: list[DrawnRequest]) -> list[Result]:
-        """Send everything and return every result."""
+        """Send all requests and return their results."""
         start_s = time.monotonic()
         connector = aiohttp.TCPConnector(limit=0)
         timeout = aiohttp.ClientTimeout(total=_TIMEOUT_S)
@@ -111,7 +111,7 @@
             return list(await asyncio.gather(*tasks))
 
     def _next_url(self) -> str:
-        entry = self.entries[next(self._turn) % len(self.entries)]
+        entry = self.entries[next(self._round_robin) % len(self.entries)]
         return f"http://{entry.ip}:{entry.port}"
 
     async def _send(self, session: aiohttp.ClientSession, drawn: DrawnRequest) -> Result:
@@ -125,15 +125,15 @@
                     await self._send_chat(session, result)
             except (aiohttp.ClientError, OSError, TimeoutError) as error:
                 result.connection_error = type(error).__name__
-            if not self._should_resend(result):
+            if not self._should_retry(result):
                 break
             result.attempts += 1
-            await asyncio.sleep(_RESEND_S)
+            await asyncio.sleep(_RETRY_DELAY_S)
         result.ended_s = time.monotonic()
         self.results.append(result)
         return result
 
-    def _should_resend(self, result: Result) -> bool:
+    def _should_retry(self, result: Result) -> bool:
         if result.is_complete or result.attempts > self.max_resends:
             return False
         refusal = result.refusal
--- a/troutstand/testing/mixes.py
+++ b/troutstand/testing/mixes.py
@@ -1,4 +1,4 @@
-"""Describe the two users' loads and draw requests from them."""
+"""Describe two request mixes and sample requests from them."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 @dataclass(frozen=True)
 class RequestClass:
-    """Describe one kind of request.
+    """Describe one class of requests.
 
-    `prefixes` is how many shared prefixes there are; a request takes one of
-    them, the first ones more often, and adds a tail of its own.
+    Each request starts with one of `prefixes` shared prefixes, chosen from a
+    skewed distribution, and continues with a tail of its own.
     """
 
     workspace: str
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True)
 class Mix:
-    """Describe a user's load."""
+    """Describe a weighted set of request classes."""
 
     name: str
     classes: tuple[RequestClass, ...]
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True)
 class DrawnRequest:
-    """Carry one drawn request."""
+    """Hold one sampled request."""
 
     at_s: float
     nonce: str
@@ -76,7 +76,7 @@
 
 
 class RequestSampler:
-    """Draw requests with Poisson arrivals from a seed."""
+    """Sample requests with Poisson arrivals from a seed."""
 
     def __init__(self, mix: Mix, seed: int) -> None:
         self._mix = mix
@@ -84,31 +84,35 @@
         self._prefixes: dict[tuple[str, int], str] = {}
 
     def draw(self, rate_per_s: float, duration_s: float) -> list[DrawnRequest]:
-        """Draw the requests of a span of time."""
+        """Sample the requests of a time span."""
         drawn: list[DrawnRequest] = []
         at_s = 0.0
         while True:
             at_s += self._random.expovariate(rate_per_s)
             if at_s >= duration_s:
                 return drawn
-            drawn.append(self._draw_one(at_s))
+            drawn.append(self._draw_request(at_s))
 
-    def _draw_one(self, at_s: float) -> DrawnRequest:
+    def _draw_request(self, at_s: float) -> DrawnRequest:
         nonce = f"{self._random.getrandbits(48):012x}"[:NONCE_CHARACTERS]
         if self._random.random() < self._mix.command_share:
             return DrawnRequest(at_s, nonce, "counter", "urgent", "", 0, is_command=True)
         classes = self._mix.classes
-        kind = self._random.choices(classes, [item.weight for item in classes])[0]
-        prefix = self._get_prefix(kind)
-        tail = self._make_text(self._random.randint(*kind.tail_tokens))
-        answer = self._random.randint(*kind.answer_tokens)
-        return DrawnRequest(at_s, nonce, kind.workspace, kind.tier, prefix + tail + nonce, answer)
-
-    def _get_prefix(self, kind: RequestClass) -> str:
-        number = min(int(self._random.paretovariate(0.8)) - 1, kind.prefixes - 1)
-        key = (kind.workspace, number)
+        request_class = self._random.choices(classes, [item.weight for item in classes])[0]
+        prefix = self._get_prefix(request_class)
+        tail = self._make_text(self._random.randint(*request_class.tail_tokens))
+        answer = self._random.randint(*request_class.answer_tokens)
+        return DrawnRequest(
+            at_s, nonce, request_class.workspace, request_class.tier, prefix + tail + nonce, answer
+        )
+
+    def _get_prefix(self, request_class: RequestClass) -> str:
+        number = min(int(self._random.paretovariate(0.8)) - 1, request_class.prefixes - 1)
+        key = (request_class.workspace, number)
         if key not in self._prefixes:
-            self._prefixes[key] = self._make_text(self._random.randint(*kind.prefix_tokens))
+            self._prefixes[key] = self._make_text(
+                self._random.randint(*request_class.prefix_tokens)
+            )
         return self._prefixes[key]
 
     def _make_text(self, tokens: int) -> str:
--- a/troutstand/testing/ports.py
+++ b/troutstand/testing/ports.py
@@ -1,4 +1,4 @@
-"""Give the processes of tests ports and loopback networks that no other test has."""
+"""Reserve ports and loopback networks that no other test process uses."""
 
 from __future__ import annotations
 
@@ -16,73 +16,72 @@
     from typing import IO
 
 IP = "127.0.0.1"
-# Below the ports that outgoing connections take by themselves; a port from
-# among those could be gone before the process that it is for opens it.
-_FIRST, _LAST = 20_000, 32_000
-_BLOCK = 100
-# Loopback networks 127.N for tests; lower ones are used by the soak and by the system itself.
+# Below the ephemeral port range: an outgoing connection could take a port of that range
+# before the test process binds it.
+_FIRST_PORT, _LAST_PORT = 20_000, 32_000
+_BLOCK_SIZE = 100
+# Loopback networks 127.N for tests; the soak and the system use lower ones.
 _FIRST_NETWORK, _LAST_NETWORK = 100, 250
 
 
 class NumberLocks:
-    """Claim numbers that no other test process has, for the life of this one.
+    """Lock numbers against other test processes for the lifetime of this one.
 
-    What is free now may be taken by another test process a second later: six that began
-    together picked 911 of 1,185 ports twice, and two whose ids differ by 200 used the same
-    network. So a number is locked first; the system drops the locks with the process.
+    A free port may be taken by another test process before it is bound. The kernel releases
+    the file locks when the process exits.
     """
 
     def __init__(self, folder: Path) -> None:
         self._folder = folder
         self._locks: list[IO[bytes]] = []
 
-    def claim(self, kind: str, number: int) -> bool:
-        """Tell whether a number is this process's own from now on."""
+    def try_lock(self, kind: str, number: int) -> bool:
+        """Lock a number and return whether this process now holds it."""
         self._folder.mkdir(exist_ok=True)
         lock = (self._folder / f"{kind}-{number}").open("ab")
         try:
             fcntl.flock(lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError:
-            # Another test process has it.
+            # Another test process holds the lock.
             lock.close()
             return False
         self._locks.append(lock)
         return True
 
 
-_CLAIMS = NumberLocks(Path(tempfile.gettempdir()) / "troutstand-tests")
+_LOCKS = NumberLocks(Path(tempfile.gettempdir()) / "troutstand-tests")
 
 
-def _turn(first: int, last: int) -> Iterator[int]:
-    """Yield some numbers once, from a place that differs between processes."""
+def _rotate_range(first: int, last: int) -> Iterator[int]:
+    """Yield each number of a range once, from an offset that depends on the process id."""
     count = last - first
     return (first + (os.getpid() + offset) % count for offset in range(count))
 
 
-def _draw_ports() -> Iterator[int]:
-    """Yield the ports of one claimed block after the other, then those ports again."""
-    own: list[int] = []
-    for block in _turn(_FIRST // _BLOCK, _LAST // _BLOCK):
-        if _CLAIMS.claim("ports", block):
-            ports = range(block * _BLOCK, (block + 1) * _BLOCK)
-            own.extend(ports)
+def _reserve_ports() -> Iterator[int]:
+    """Yield the ports of one locked block after the other, then cycle through them."""
+    reserved: list[int] = []
+    for block in _rotate_range(_FIRST_PORT // _BLOCK_SIZE, _LAST_PORT // _BLOCK_SIZE):
+        if _LOCKS.try_lock("ports", block):
+            ports = range(block * _BLOCK_SIZE, (block + 1) * _BLOCK_SIZE)
+            reserved.extend(ports)
             yield from ports
-    yield from itertools.cycle(own)
+    yield from itertools.cycle(reserved)
 
 
-_PORTS = _draw_ports()
+_PORTS = _reserve_ports()
 
 
 def pick_ports(count: int) -> list[int]:
-    """Return ports that are free now and that no other test process picks."""
+    """Return free ports that are reserved for this test process."""
     return list(itertools.islice(filter(_is_free, _PORTS), count))
 
 
 @cache
 def reserve_network() -> int:
-    """Return the second number of the loopback network that only this test process uses."""
-    networks = _turn(_FIRST_NETWORK, _LAST_NETWORK)
-    return next(number for number in networks if _CLAIMS.claim("network", number))
+    """Reserve a loopback network and return its second octet."""
+    networks = _rotate_range(_FIRST_NETWORK, _LAST_NETWORK)
+    return next(number for number in networks if _LOCKS.try_lock("network", number))
 
 
 def _is_free(port: int) -> bool:
--- a/troutstand/testing/rawcaller.py
+++ b/troutstand/testing/rawcaller.py
@@ -1,4 +1,4 @@
-"""Call a server and read its one answer strictly, to the end of the connection."""
+"""Call a server and parse all bytes up to the end of the connection strictly."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass
 class RawResponse:
-    """Hold one answer up to the end of its connection; `error` tells what could not be parsed."""
+    """Hold the response on one connection; `error` describes a parse error."""
 
     request: str
     response_count: int = 0
@@ -24,41 +24,41 @@
     error: str = ""
 
     def read(self, data: bytes) -> None:
-        """Parse an answer's bytes."""
+        """Parse the bytes of the connection."""
         self._parser = httptools.HttpResponseParser(self)
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as error:
             self.error = f"{type(error).__name__}: {error}"
 
-    # The parser's callbacks
+    # Callbacks of the parser
 
     def on_message_begin(self) -> None:
-        """Count answers."""
+        """Count the responses."""
         self.response_count += 1
 
     def on_headers_complete(self) -> None:
-        """Take the status."""
+        """Store the status."""
         self.status = self._parser.get_status_code()
 
     def on_body(self, body: bytes) -> None:
-        """Collect a piece of the body."""
+        """Append a part of the body."""
         self.body += body
 
     def on_message_complete(self) -> None:
-        """Note that the answer looks complete."""
+        """Mark the response as complete."""
         self.is_complete = True
 
 
-async def call_raw(callers: str, route: str, request: str, limit_s: float) -> RawResponse:
+async def call_raw(callers: str, route: str, request: str, timeout_s: float) -> RawResponse:
     """Send one request and read until the gateway closes the connection.
 
     Parameters
     ----------
     callers
         The gateway's address for callers, IP:PORT.
-    limit_s
-        Seconds within which the connection must have ended.
+    timeout_s
+        Timeout for the whole connection, in seconds.
     """
     host, _, port = callers.rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
@@ -67,7 +67,7 @@
         f"Host: {HOST}",
         f"X-Request-Id: {request}",
         f"X-Workspace-Key: {KEY}",
-        f"X-Deadline-Ms: {int(limit_s * 1000)}",
+        f"X-Deadline-Ms: {int(timeout_s * 1000)}",
         "X-Tokens: 10,10",
         "Content-Length: 0",
         "Connection: close",
@@ -75,11 +75,11 @@
     writer.write("\r\n".join([*lines, "", ""]).encode())
     data = b""
     try:
-        async with asyncio.timeout(limit_s):
-            while piece := await reader.read(_READ_BYTES):
-                data += piece
+        async with asyncio.timeout(timeout_s):
+            while chunk := await reader.read(_READ_BYTES):
+                data += chunk
     finally:
         writer.close()
-    answer = RawResponse(request)
-    answer.read(data)
-    return answer
+    response = RawResponse(request)
+    response.read(data)
+    return response
--- a/troutstand/testing/routedcaller.py
+++ b/troutstand/testing/routedcaller.py
@@ -1,4 +1,4 @@
-"""Call a routed site as its callers do, and keep what came of each call."""
+"""Call a routed site as its callers do, and record the result of each call."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 if TYPE_CHECKING:
     from troutstand.testing.routedsite import HostProcess
 
-_GRACE_S = 1.0
+_TIMEOUT_MARGIN_S = 1.0
 
 
 @dataclass(frozen=True)
 class CallResult:
-    """Tell how a call ended; status 0 stands for a broken or missing answer.
+    """Record how a call ended; status 0 means that the response failed or is missing.
 
     Parameters
     ----------
     is_malformed
-        Whether bytes came that are no HTTP; a connection that only ended has none.
+        Whether the response bytes are not valid HTTP; an early end does not count.
     """
 
     request: str
@@ -41,12 +41,12 @@
 
     @property
     def duration_s(self) -> float:
-        """Return how long the call took."""
+        """Return the duration of the call."""
         return self.ended_s - self.began_s
 
 
 class RoutedCaller:
-    """Send requests with ids of their own."""
+    """Send requests with unique ids and record their results."""
 
     def __init__(self, session: aiohttp.ClientSession, prefix: str = "call") -> None:
         self.results: list[CallResult] = []
@@ -63,7 +63,7 @@
         tokens: str = "",
         deadline_s: float = 3.0,
     ) -> CallResult:
-        """Send one request and wait for its answer."""
+        """Send one request and wait for its response."""
         request = f"{self._prefix}-{next(self._numbers)}"
         method = "GET" if route.startswith("/get") else "POST"
         headers = {
@@ -78,16 +78,16 @@
         began_s = time.monotonic()
         status, data, retry_after, detail = 0, b"", "", ""
         is_malformed = False
-        limit = aiohttp.ClientTimeout(total=deadline_s + _GRACE_S)
+        timeout = aiohttp.ClientTimeout(total=deadline_s + _TIMEOUT_MARGIN_S)
         try:
             async with self._session.request(
-                method, url, headers=headers, data=body or None, timeout=limit
+                method, url, headers=headers, data=body or None, timeout=timeout
             ) as response:
                 data = await response.read()
                 status = response.status
                 retry_after = response.headers.get("Retry-After", "")
         except aiohttp.ClientResponseError as error:
-            # The client's parser stopped; what merely ends early is another error.
+            # The client's parser failed; an early end raises another error.
             detail, is_malformed = f"{type(error).__name__}: {error}", True
         except (aiohttp.ClientError, TimeoutError, OSError, RuntimeError) as error:
             detail = f"{type(error).__name__}: {error}"
--- a/troutstand/testing/site.py
+++ b/troutstand/testing/site.py
@@ -18,7 +18,7 @@
 from troutstand.generated.table import Model, Protocol, Service, Target, Tier, Workspace
 from troutstand.testing.engine import EngineSettings
 from troutstand.testing.ports import IP, pick_ports
-from troutstand.testing.relay import Pair, RelayHub
+from troutstand.testing.relay import LinkDirection, RelayHub
 from troutstand.testing.service import ServiceSettings
 
 if TYPE_CHECKING:
@@ -222,7 +222,7 @@
             address = peer.link
             if other != name:
                 address = Address(IP, pick_ports(1)[0])
-                self.hub.add(Pair(name, other), address, peer.link)
+                self.hub.add(LinkDirection(name, other), address, peer.link)
             relayed.append(Peer(peer.host, peer.failure_domain, peer.role, address))
         return relayed
 
@@ -231,14 +231,16 @@
         assert self.hub is not None
         inside = {name for name, own in self.domains.items() if own == domain}
         outside = set(self.domains) - inside
-        self.hub.cut({Pair(a, b) for a in inside for b in outside})
-        self.hub.cut({Pair(b, a) for a in inside for b in outside})
+        self.hub.cut({LinkDirection(a, b) for a in inside for b in outside})
+        self.hub.cut({LinkDirection(b, a) for a in inside for b in outside})
 
     def cut_process(self, name: str) -> None:
         """Cut a process off from all others."""
         assert self.hub is not None
         others = set(self.domains) - {name}
-        self.hub.cut({Pair(name, b) for b in others} | {Pair(b, name) for b in others})
+        self.hub.cut(
+            {LinkDirection(name, b) for b in others} | {LinkDirection(b, name) for b in others}
+        )
 
     def _add_engine(self, name: str, domain: str, speed: float) -> None:
         port = pick_ports(1)[0]
