--- a/troutstand/tests/reload.feature
+++ b/troutstand/tests/reload.feature
@@ -1,8 +1,8 @@
-Feature: A process lives on when it is told to read its settings again, whenever that is
+Feature: SIGHUP never ends a process, even during startup and shutdown
 
   # A SIGHUP that arrives before the event loop runs or after it is closed must not end the process.
 
-  Scenario Outline: A process that begins or ends is told to read its settings again
+  Scenario Outline: A <role> that starts or stops survives SIGHUP
     Given a routed site with 2 engines and 2 plain targets
     When a <role> starts anew and is told to reload again and again until it ends
     Then it served, and ended by itself with 0
@@ -15,7 +15,7 @@
 
   # Before the interpreter runs the program, SIGHUP has its default action and ends the process; the soak
   # must not count this as a crash.
-  Scenario: A soak tells a process that has just been started to reload once it can take it
+  Scenario: The soak sends SIGHUP to a process only after its handler is installed
     Given a routed site with 2 engines and 2 plain targets
     When a soak tells a gateway to reload as soon as it is started, 5 times
     Then it lived on each time
--- a/troutstand/tests/rest.feature
+++ b/troutstand/tests/rest.feature
@@ -1,48 +1,48 @@
-Feature: What targets say of themselves decides where requests go
+Feature: Targets' backoff and draining notices affect placement
 
   # Covers single decisions; resting.feature covers the same failure with whole processes.
 
   Background:
     Given a desk for 3 targets of 2 slots
 
-  Scenario: A rest binds the gateway that was asked for as long as it lasts
+  Scenario: A gateway sends nothing to a target during the backoff that it was asked for
     When t1 asks gateway-1 for 3 s of rest
     Then requests of gateway-1 go to t2, t3 only for 2.9 s
     And after 0.2 s requests of gateway-1 go to t1 as well
 
-  Scenario: A whole answer of an earlier request does not end a rest
+  Scenario: A successful response to an earlier request does not end a backoff
     Given gateway-1 has a request at t1
     When t1 asks gateway-1 for 3 s of rest
     And the request at t1 ends whole
     Then requests of gateway-1 go to t2, t3 only for 2.9 s
 
-  Scenario: A newer list of targets does not end a rest
+  Scenario: A newer target list does not end a backoff
     When t1 asks gateway-1 for 3 s of rest
     And the list of targets is read again
     Then requests of gateway-1 go to t2, t3 only for 2.9 s
 
-  Scenario: A target that starts again under its name is not resting any more
+  Scenario: A restarted target with the same name is not in backoff any more
     When t1 asks gateway-1 for 3 s of rest
     And the list of targets tells of a new life of t1
     Then after 0 s requests of gateway-1 go to t1 as well
 
-  Scenario: Other gateways prefer targets that asked nobody for rest
+  Scenario: Other gateways prefer targets that asked no gateway for a backoff
     When t1 asks gateway-1 for 3 s of rest
     Then requests of gateway-2 go to t2, t3 only for 2.9 s
 
-  Scenario: Other gateways try a resting target where no other has a place
+  Scenario: Other gateways probe a target in backoff if no other target has a free slot
     Given every other target is full
     When t1 asks gateway-1 for 3 s of rest
     And 0.3 s pass at the desk
     Then 1 of 4 requests of gateway-2 with two attempts gets t1
 
-  Scenario: A request without another attempt waits for a target that asked nobody
+  Scenario: A request with a single attempt waits for a target that asked no gateway for a backoff
     Given every other target is full
     When t1 asks gateway-1 for 3 s of rest
     And 0.3 s pass at the desk
     Then 0 of 4 requests of gateway-2 with one attempt gets t1
 
-  Scenario: A target that answers another gateway is trusted again by that
+  Scenario: A target that answers another gateway is not suspect for that gateway any more
     Given every other target is full
     When t1 asks gateway-1 for 3 s of rest
     And 0.3 s pass at the desk
@@ -50,26 +50,26 @@
     Then 2 of 4 requests of gateway-2 with one attempt gets t1
     And requests of gateway-1 do not go to t1
 
-  Scenario: Who must leave all targets alone for longer than there is time is refused at once
+  Scenario: A request is refused at once if all targets are in backoff for longer than its objective
     When each target asks gateway-1 for 3 s of rest
     Then a request of gateway-1 with an objective of 1 s is refused at once with 3013 after 3 s
     And a request of gateway-1 with an objective of 6 s waits
 
-  Scenario: Who waits is refused as soon as all targets want rest for longer than there is time
+  Scenario: A waiting request is refused as soon as all targets are in backoff for longer than its objective
     Given every target is full
     And a request of gateway-1 waits
     When each target asks gateway-1 for 3 s of rest
     And 0.1 s pass at the desk
     Then the request that waited is refused with 3013
 
-  Scenario: Free places of resting targets are no reason to admit more
+  Scenario: Free slots of targets in backoff do not count as spare capacity
     Given every other target is full
     When t1 asks gateway-1 for 3 s of rest
     Then the service has no room to spare
 
   # A target that rejects requests without Retry-After has nothing running and must not attract
   # further requests.
-  Scenario Outline: A target that turns requests away without a time is avoided for longer each time
+  Scenario Outline: A target that rejects requests without Retry-After is avoided with exponential backoff
     When t1 turns <count> requests of gateway-1 away
     Then requests of gateway-2 go to t2, t3 only for <avoided> s
     And after <later> s requests of gateway-2 go to t1 as well
@@ -80,7 +80,7 @@
       | 3     | 0.19    | 0.11  |
       | 9     | 0.75    | 0.15  |
 
-  Scenario: An answer ends the doubt
+  Scenario: A successful response resets the exponential backoff
     When t1 turns 9 requests of gateway-1 away
     And 0.9 s pass at the desk
     And a request of gateway-2 is answered by t1
@@ -88,12 +88,12 @@
     Then requests of gateway-2 go to t2, t3 only for 0.04 s
     And after 0.11 s requests of gateway-2 go to t1 as well
 
-  Scenario: A target that says that it leaves gets nothing, whatever the list shows
+  Scenario: A target that announces that it is draining gets nothing, even if the list shows it as ready
     When t1 tells gateway-1 that it leaves
     And the list of targets is read again
     Then requests of gateway-2 go to t2, t3 only for 2.9 s
 
-  Scenario Outline: What ends at a target that leaves makes room for nobody
+  Scenario Outline: A slot that becomes free at a draining target is not used
     Given every target is full
     And a request of gateway-1 waits
     When <leaving>
@@ -105,44 +105,44 @@
       | t1 tells gateway-1 that it leaves          |
       | the list of targets shows t1 as draining   |
 
-  Scenario: A target that was shown as leaving and is ready again gets work
+  Scenario: A target that was listed as draining and is ready again gets requests
     When t1 tells gateway-1 that it leaves
     And the list of targets shows t1 as draining, then as ready
     Then after 0 s requests of gateway-1 go to t1 as well
 
-  Scenario: What another process's list says of leaving holds until the next list
+  Scenario: A draining target in a gateway's list is avoided until the next target list
     When a gateway's own list shows t1 as leaving
     Then requests of gateway-1 go to t2, t3 only for 0.5 s
     When the list of targets is read again
     Then after 0 s requests of gateway-1 go to t1 as well
 
-  Scenario: A list that lags behind both does not take back what the target said
+  Scenario: An outdated list does not override a target's draining notice
     When t1 tells gateway-1 that it leaves
     And a gateway's own list shows t1 as leaving
     And the list of targets is read again
     Then requests of gateway-1 go to t2, t3 only for 0.5 s
 
-  Scenario: A target that leaves is told of by gateways that attach
+  Scenario: A gateway that attaches reports draining targets and backoffs
     When a gateway that attaches brings that t1 leaves and t2 wants 3 s of rest
     Then requests of that gateway go to t3 only for 2.9 s
 
   # A gateway also enforces both itself, since its scheduler may have older information.
 
-  Scenario: A gateway keeps a rest and a leaving
+  Scenario: A gateway stores backoff and draining notices
     When the book hears that t1 wants 2 s of rest and t2 leaves
     Then the book keeps back t1 as resting for 2 s and t2 as leaving for ever
     And it tells deciders of both, and of t2 alone after 2 s
 
-  Scenario: A longer rest is not cut short by a later one
+  Scenario: A shorter backoff does not cut short a longer one
     When the book hears that t1 wants 3 s of rest, then 0.5 s
     Then the book keeps back t1 as resting for 3 s
 
-  Scenario: A new life of a target is not kept back
+  Scenario: A new incarnation of a target is not blocked
     When the book hears that t1 of life 5 leaves
     Then the book lets requests to t1 of life 6 pass
     And the book keeps back t1 of life 5 as leaving
 
-  Scenario Outline: A list that lags does not bring a leaving target back
+  Scenario Outline: An outdated list does not unblock a draining target
     When the book hears that t2 leaves
     And lists show t2 as <first>, and <later> s later as <second>
     Then t2 is <judged>
@@ -156,7 +156,7 @@
       | gone     | 5     | ready    | kept back |
       | gone     | 20    | gone     | let pass  |
 
-  Scenario Outline: What an answer asks for
+  Scenario Outline: Backoff and draining notice are read from a response
     When an answer has status <status> and the headers <headers>
     Then it asks for <rest> s of rest and <leaving> that its target leaves
 
@@ -177,7 +177,7 @@
       | 200    | X-Target-Leaving: 0              | 0    | denies  |
       | 503    | X-Target-Leaving: 1, Retry-After: 1 | 1 | says    |
 
-  Scenario Outline: What was placed before its target spoke is not sent any more
+  Scenario Outline: A request that was placed before its target's notice arrived is not sent
     Given a target that answers <answer>
     When two repeatable requests are sent one after the other
     Then the second one is kept back and does not reach the target
--- a/troutstand/tests/resting.feature
+++ b/troutstand/tests/resting.feature
@@ -1,23 +1,23 @@
-Feature: Targets that ask to be left alone
+Feature: Targets that ask for a backoff
 
   # A target that rejects requests with 503 and Retry-After has nothing running and looks idle: without
   # a pause it attracts further requests, which fail.
 
-  Scenario: Engines that turn everything away are left alone as long as they ask
+  Scenario: Engines that reject all requests get no more during their backoff
     Given a routed site with 5 engines and 2 plain targets
     When 2 engines turn requests away and ask for 2 s of rest
     And for 5 s 30 calls a second of /stream/ are made
     Then no gateway sent more than 2 requests within a rest
     And at least 0.95 of these calls are answered
 
-  Scenario: Half of the targets of a plain service ask for rest
+  Scenario: Half of the targets of a plain service ask for a backoff
     Given a routed site with 0 engines and 8 plain targets that work for 0.2 s
     When 4 targets turn requests away and ask for 2 s of rest
     And for 5 s 60 calls a second of /get/ are made
     Then no gateway sent more than 2 requests within a rest
     And at least 0.95 of these calls are answered
 
-  Scenario: What a target asked for outlives the scheduler
+  Scenario: A backoff is kept when the scheduler fails
     Given a routed site with 0 engines and 6 plain targets that work for 0.2 s
     When 1 targets turn requests away and ask for 6 s of rest
     And for 1.5 s 40 calls a second of /get/ are made
@@ -25,7 +25,7 @@
     And for 3 s 40 calls a second of /get/ are made
     Then no gateway sent more than 2 requests within a rest
 
-  Scenario: Gateways that decide alone keep to it
+  Scenario: Gateways that decide locally respect a backoff
     Given a routed site with 0 engines and 4 plain targets
     When all schedulers are killed and the gateways decide alone
     And 1 targets turn requests away and ask for 3 s of rest
@@ -33,14 +33,14 @@
     Then no gateway sent more than 2 requests within a rest
     And at least 0.95 of these calls are answered
 
-  Scenario: A target that says that it leaves gets no more, whatever the list shows
+  Scenario: A target that announces that it is draining gets nothing, even if the list shows it as ready
     Given a routed site with 0 engines and 4 plain targets
     When 2 targets say in their answers that they leave
     And for 6 s 40 calls a second of /get/ are made
     Then no request was sent later than 3 s after its gateway had heard that a target leaves
     And at least 0.95 of these calls are answered
 
-  Scenario: A leaving that was told outlives the schedulers
+  Scenario: A draining notice is kept when the schedulers fail
     Given a routed site with 0 engines and 4 plain targets
     When 2 targets say in their answers that they leave
     And for 2 s 40 calls a second of /get/ are made
@@ -50,7 +50,7 @@
     And for 2 s 40 calls a second of /get/ are made
     Then no request was sent later than 3 s after its gateway had heard that a target leaves
 
-  Scenario: A stream that began before its engine said that it leaves is brought to its end
+  Scenario: A stream that started before its engine's draining notice is completed
     Given a routed site with 2 engines and 0 plain targets
     When 1 engines say in their answers that they leave
     And for 3 s 10 calls a second of /stream/ are made
--- a/troutstand/tests/routed.feature
+++ b/troutstand/tests/routed.feature
@@ -1,4 +1,4 @@
-Feature: A routed site of separate processes keeps its promises
+Feature: A routed site of separate processes tolerates failures
 
   Scenario: Every kind of request is served, and what is not allowed is refused
     Given a routed site
@@ -9,7 +9,7 @@
     And a call of /do/ with an unknown key gets 401
     And the targets saw the workspace and no key
 
-  Scenario: Before any configuration is known nothing is denied
+  Scenario: Before any configuration is known calls get 503, not 404
     Given a routed site without a configuration
     Then a call of /do/ through each gateway that listens gets 503
     And a call of /unknown/ through each gateway that listens gets 503
@@ -17,7 +17,7 @@
     Then a call of /do/ through each gateway gets 200
     And a call of /unknown/ through each gateway gets 404
 
-  Scenario: Callers that leave free the targets and the queue
+  Scenario: Disconnected callers free their slots and their places in the queue
     Given a routed site whose targets work for 5 s
     When 8 calls that run and 4 that wait are given up by their callers
     Then the targets' work on the 8 ends within 0.5 s
@@ -34,18 +34,18 @@
     Then every call that it took was answered whole
     And the gateway ended by itself with 0
 
-  Scenario: What a stopping gateway cuts is not logged as left by its caller
+  Scenario: A call that a stopping gateway aborts is not logged as abandoned by its caller
     Given a routed site whose targets work for 5 s
     When a gateway is told to stop while it answers a call
     Then its log tells of the call as cut, not as left
 
   # A gateway whose calls outlast the drain must cancel them and exit before the platform kills it.
-  Scenario: A gateway that must cut calls ends by itself in the time that it has
+  Scenario: A gateway that must abort calls exits within its stop timeout
     Given a routed site whose targets work for 20 s and whose processes have 6 s to stop
     When a gateway is told to stop while it answers a call
     Then it ended by itself within 6 s
 
-  Scenario: A configuration is in force everywhere, and two contents never share a number
+  Scenario: A configuration applies everywhere, and a version number never has two contents
     Given a routed site
     When two operators send different contents under version 7 at once
     Then every keeper tells one and the same content under version 7
@@ -70,22 +70,22 @@
     When keeper-1 is killed
     Then version 4 can be acknowledged
 
-  Scenario: A keeper that reaches no majority does not tell a configuration
+  Scenario: A keeper without a quorum refuses to return a configuration
     Given a routed site
     When keeper-2 and keeper-3 are frozen
     Then a read at keeper-1 is refused with 503 within 4 s
 
-  Scenario: A stream goes on at another target behind the last whole event
+  Scenario: A stream resumes at another target after the last complete event
     Given a routed site whose engines break streams
     Then calls of /stream/resume/ get every event once
     And calls of /stream/ that are cut do not look complete
 
-  Scenario: A stopping gateway closes connections at rest at once, and takes nothing on them
+  Scenario: A stopping gateway closes idle connections at once
     Given a routed site
     When a gateway with 5 connections at rest is told to stop
     Then each of them is closed within 1.5 s, before the gateway has ended
 
-  Scenario: A scheduler that takes over reads the list of targets at once
+  Scenario: A scheduler that takes over reads the target list at once
     Given a routed site
     When a target is listed as draining and the first scheduler is killed at once
     Then 2 s later no call goes to that target
@@ -97,7 +97,7 @@
 
   # Without the longest pause of a stream in the gateway's message, the scheduler assumes the default
   # time per token for every target.
-  Scenario: Whoever decides learns how fast each engine streams
+  Scenario: The scheduler learns the time per token of each engine
     Given a routed site whose engines take 5 and 40 ms for a token
     When 24 calls of /stream/ are answered
     Then the scheduler's log tells less than 20 ms a token of the first and more of the second
--- a/troutstand/tests/routedload.feature
+++ b/troutstand/tests/routedload.feature
@@ -1,8 +1,8 @@
-Feature: A routed site of separate processes shares room that is short
+Feature: A routed site of separate processes shares scarce capacity
 
   # Two targets of 4 slots work for 0.2 s: 40 requests a second fit. At twice these rates the test
   # processes themselves limit a busy machine.
-  Scenario Outline: A light workspace is in time beside <floods> that flood, with a steady scheduler
+  Scenario Outline: A light workspace is in time beside <floods> overloading workspaces, with a steady scheduler
     Given a routed site of 3 gateways that shares 2 plain targets of 0.2 s of work fairly
     When for 12 s a light workspace makes <light> calls a second beside <floods> of <per_s>, with a steady scheduler
     Then 0.95 of the light workspace's calls are answered within 0.4 s
@@ -25,7 +25,7 @@
 
   # Long streams of a lower tier that occupy all slots must not get short requests of a higher tier
   # refused on arrival.
-  Scenario: Short requests of a higher tier come in time behind long streams of a lower one
+  Scenario: Short requests of a higher tier are in time despite long streams of a lower one
     Given a routed site whose 2 engines stream for 4 s and protect tiers
     When for 24 s 4 streams of the lower tier a second are called, and 5 of the higher from 3 s on
     Then 0.95 of the higher tier's calls are answered within 0.4 s
--- a/troutstand/tests/routedrollouts.feature
+++ b/troutstand/tests/routedrollouts.feature
@@ -1,4 +1,4 @@
-Feature: Processes of a routed site move a service to another version of its targets
+Feature: Processes of a routed site roll out a new version of a service's targets
 
   Scenario: A sound version takes over in time, and the old one ends without a lost call
     Given a routed site whose targets run "v1"
@@ -26,7 +26,7 @@
     When the calls go on for 2 s
     Then targets of "v9" got no call
 
-  Scenario: A process that has just started lets in nothing that it does not know
+  Scenario: A process that has just started admits no unknown version
     Given a routed site whose targets run "v1"
     And 2 targets of "work" that run "v9" are listed
     And calls of /get/ and /do/ run all the time
@@ -34,7 +34,7 @@
     And the calls go on for 3 s
     Then targets of "v9" got no call
 
-  Scenario: An acknowledged order outlives the power of all keepers and a disk
+  Scenario: An acknowledged order survives a restart of all keepers and the loss of a disk
     Given a routed site whose targets run "v1"
     When a rollout of "work" to "v2" within 60 s is ordered
     And all keepers are killed, one loses its disk, and all start again
@@ -42,13 +42,13 @@
     And the same order is acknowledged again at each keeper
     And an order to "v3" is refused with 409 at each keeper
 
-  Scenario: An order for a service without any target comes to its end as well
+  Scenario: An order for a service without targets is rolled back
     Given a routed site whose targets run "v1"
     And a service "empty" without targets
     When a rollout of "empty" to "v2" within 3 s is ordered
     Then the rollout of "empty" is rolled_back within 5 s
 
-  Scenario: A keeper that reaches no majority does not tell how far a rollout is
+  Scenario: A keeper without a quorum refuses to return the state of a rollout
     Given a routed site whose targets run "v1"
     When a rollout of "work" to "v2" within 60 s is ordered
     And keeper-2 and keeper-3 are frozen
@@ -64,9 +64,9 @@
       | no time               | {"service":"work","version":"v2","duration_s":0}      | 400    |
       | no version            | {"service":"work","version":"","duration_s":5}        | 400    |
       | a field it can't have | {"service":"work","version":"v2","duration_s":5,"x":1} | 400   |
-      | no order at all       | []                                                    | 400    |
+      | not an order          | []                                                    | 400    |
 
-  Scenario: An operator follows a rollout by the command line and takes it back
+  Scenario: An operator watches and aborts a rollout on the command line
     Given a routed site whose targets run "v1"
     When troutstandctl orders "work" to "v2" within 60 s
     Then troutstandctl shows "v2" as in_progress
--- a/troutstand/tests/scheduler.feature
+++ b/troutstand/tests/scheduler.feature
@@ -1,4 +1,4 @@
-Feature: The scheduler keeps tier order and places by what it knows
+Feature: The scheduler keeps the order of tiers and places requests by the targets' state
 
   Background:
     Given a scheduler with 2 targets of 2 slots and tiers of rank 0 to 3
@@ -19,23 +19,23 @@
     When more requests of rank 1 are submitted than can start in time
     Then every waiting request of rank 2 was shed before the first of rank 1
 
-  Scenario: A refusal comes at once, with a spread time to come back
+  Scenario: A refusal comes at once, with a jittered Retry-After
     Given all slots run requests of rank 0
     When 200 requests of rank 0 are submitted at once
     Then those that cannot start in time are refused at once
     And their times to come back differ
 
-  Scenario: A prompt goes where its prefix is held
+  Scenario: A prompt goes to the target that has its prefix cached
     When a long prompt has run on one target
     And the same prompt is submitted again
     Then it is granted the same target
 
-  Scenario: A target that stalls gets nothing until its time to be tried again
+  Scenario: A target that stalls gets nothing until its backoff ends
     When a request ends on one target with a stall
     Then the next 2 requests are granted the other target
     And after the backoff one request tries it again
 
-  Scenario: A leaving target gets no new work
+  Scenario: A draining target gets no new requests
     When the table calls one target leaving
     Then the next 2 requests are granted the other target
     When the platform's list calls the other target leaving
@@ -46,12 +46,12 @@
     When 80 slots fall free
     Then they got 60 and 20 grants, give or take 2
 
-  Scenario: A workspace over its rate is told when to come back
+  Scenario: A workspace over its rate limit is refused
     Given a workspace limited to 100 tokens a second
     When it submits 50 requests of 100 tokens at once
     Then at most 6 are granted and the others refused with 3003
 
-  Scenario: A target that leaves the table takes its requests out of the count
+  Scenario: Requests of a deleted target do not count against their workspace's limit
     Given a workspace limited to 1 running request
     When a request runs on a target that is then deleted
     Then the next request is granted
--- a/troutstand/tests/schedulerwatch.feature
+++ b/troutstand/tests/schedulerwatch.feature
@@ -1,21 +1,21 @@
-Feature: A gateway asks the first live scheduler and watches the others
+Feature: A gateway uses the first live scheduler and monitors the others
 
-  Scenario: The first live scheduler in order is asked
+  Scenario: The first live scheduler in order is used
     Given schedulers a, b and c that answered 0.1, 0.1 and 0.1 s ago
     Then a gateway that decides alone asks a
 
-  Scenario: A gateway that decides alone looks about before it asks one that nobody asks
+  Scenario: A gateway that decides locally does not switch at once to a scheduler without gateways
     Given schedulers a, b and c that answered 0.1, 9 and 9 s ago
     And a has been live for 0.1 s and is asked by 0 gateways
     Then a gateway that decides alone asks nobody
     When a has been live for 0.1 s and is asked by 1 gateways
     Then a gateway that decides alone asks a
 
-  Scenario: A scheduler that is silent is left for the next
+  Scenario: A gateway switches away from a silent scheduler to the next
     Given schedulers a, b and c that answered 2, 0.1 and 0.1 s ago
     Then a gateway that asks a asks b
 
-  Scenario: A scheduler that does not answer is left long before its next heartbeat is due
+  Scenario: An unanswered request makes a gateway switch before the next heartbeat is due
     Given schedulers a, b and c that answered 0.5, 0.1 and 0.1 s ago
     And a is heard every 0.7 s and has not answered for 0.3 s
     Then a gateway that asks a asks a
@@ -26,39 +26,39 @@
 
   # A scheduler that is busy attaching many gateways at once must not look failed, or some gateways move
   # on and two schedulers fill the same targets.
-  Scenario: A scheduler that was just moved to is given time to take all gateways in
+  Scenario: A scheduler that gateways just switched to has time to attach them all
     Given schedulers a, b and c that answered 9, 0.6 and 0.1 s ago
     And b was moved to 0.6 s ago and has not answered for 0.6 s
     Then a gateway that asks b asks b
     When b was moved to 1.1 s ago and has not answered for 1.1 s
     Then a gateway that asks b asks c
 
-  Scenario: A scheduler that was moved to long ago is left as soon as any other
+  Scenario: A scheduler that a gateway switched to long ago gets no extra time
     Given schedulers a, b and c that answered 9, 0.6 and 0.1 s ago
     And b was moved to 3 s ago and has not answered for 0.5 s
     Then a gateway that asks b asks c
 
-  Scenario: A gateway that stood still does not take it for the silence of a scheduler
+  Scenario: A gateway's own stall does not count as silence of its scheduler
     Given schedulers a, b and c that answered 2, 2 and 2 s ago
     And a is heard every 0.7 s and has not answered for 2 s
     When the gateway itself stood still for 1.9 s
     Then a gateway that asks a asks a
 
-  Scenario: A scheduler that was left is not asked again before it answers
+  Scenario: A scheduler marked as lost is not used again before it answers
     Given schedulers a, b and c that answered 0.7, 9 and 9 s ago
     Then a gateway that asks a asks nobody
     And a gateway that decides alone asks a
     When a was left
     Then a gateway that decides alone asks nobody
 
-  Scenario: One that comes back is not gone back to while most gateways ask another
+  Scenario: A gateway does not return to a recovered scheduler while most gateways use another
     Given schedulers a, b and c that answered 0.1, 0.1 and 0.1 s ago
     And a has been live for 60 s and is asked by 0 gateways
     And b has been live for 60 s and is asked by 6 gateways
     Then a gateway that asks b asks b
     And a gateway that decides alone asks b
 
-  Scenario: Gateways that ask two schedulers come together at the one that most ask
+  Scenario: Gateways split between two schedulers converge on the one that most use
     Given schedulers a, b and c that answered 0.1, 0.1 and 0.1 s ago
     And a has been live for 60 s and is asked by 2 gateways
     And b has been live for 1 s and is asked by 4 gateways
@@ -67,38 +67,38 @@
     Then a gateway that asks a asks b
     And a gateway that asks b asks b
 
-  Scenario: Of two that equally many ask, the first in order is asked
+  Scenario: Of two schedulers with equally many gateways the first in order is used
     Given schedulers a, b and c that answered 0.1, 0.1 and 0.1 s ago
     And a has been live for 60 s and is asked by 3 gateways
     And b has been live for 60 s and is asked by 3 gateways
     Then a gateway that asks a asks a
     And a gateway that asks b asks a
 
-  Scenario: Without a live one the gateway decides alone
+  Scenario: Without a live scheduler a gateway decides locally
     Given schedulers a, b and c that answered 9, 9 and 9 s ago
     Then a gateway that asks a asks nobody
 
-  Scenario: Only the next two in order are watched closely
+  Scenario: Only the next two schedulers in order get frequent heartbeats
     Given schedulers a, b, c, d and e that all answered 0.1 s ago
     When a gateway that asks a spaces its heartbeats
     Then b and c are watched more closely than d and e
     When a gateway that asks nobody spaces its heartbeats
     Then d and e are watched as closely as b and c, and woken
 
-  Scenario: A gateway that decides alone waits for the scheduler that others ask
+  Scenario: A gateway that decides locally waits for the scheduler that others use
     Given schedulers a, b and c that answered 0.1, 9 and 9 s ago
     And a has been live for 0.3 s and says that 5 gateways ask b
     Then a gateway that decides alone asks nobody
     When a has been live for 1 s and says that 5 gateways ask b
     Then a gateway that decides alone asks a
 
-  Scenario: What others ask is not waited for once it is heard
+  Scenario: A gateway that decides locally switches at once to a live scheduler that others use
     Given schedulers a, b and c that answered 0.1, 0.1 and 9 s ago
     And a has been live for 0.3 s and says that 5 gateways ask b
     And b has been live for 0.1 s and is asked by 5 gateways
     Then a gateway that decides alone asks b
 
-  Scenario: A gateway hears from its own scheduler that most ask another
+  Scenario: A gateway learns from its own scheduler that most gateways use another
     Given schedulers a, b and c that answered 0.1, 0.1 and 9 s ago
     And a has been live for 60 s and is asked by 2 gateways
     And b has been live for 60 s and is asked by 0 gateways
@@ -109,7 +109,7 @@
 
   # After a loss of all power gateways must not split between schedulers that start at the same time,
   # or two schedulers fill the same targets.
-  Scenario Outline: Gateways that all begin anew come to one scheduler at once
+  Scenario Outline: Gateways that all restart converge on one scheduler at once
     When <gateways> gateways and schedulers that are ready after <ready> s begin in 50 draws
     Then two schedulers are asked for <mean> s in the mean and <most> s at most
     And the first one is asked within 0.1 s of its being ready, in the mean
@@ -122,28 +122,28 @@
       | 20       | 1.20, 0.40, 0.00    | 0.1  | 0.3  |
       | 73       | 0.10, 0.00, 0.30    | 0.1  | 0.3  |
 
-  Scenario: One that begins anew does not draw gateways from one that is established
+  Scenario: A restarted scheduler does not draw gateways from an established one
     Given schedulers a, b and c that answered 0.1, 0.1 and 9 s ago
     And a has been ready for 0.5 s and is asked by 0 gateways
     And b has been ready for 60 s and is asked by 1 gateways
     Then a gateway that asks b asks b
     And a gateway that decides alone asks b
 
-  Scenario: While all have just begun, gateways come at once to the one that most ask
+  Scenario: While all schedulers have just started, gateways switch at once to the most used one
     Given schedulers a, b and c that answered 0.1, 0.1 and 9 s ago
     And a has been ready for 0.5 s and is asked by 1 gateways
     And b has been ready for 1.2 s and is asked by 5 gateways
     Then a gateway that asks b asks b
     And a gateway that asks a asks b
 
-  Scenario: Of two that have just begun and equally many ask, the first in order is asked
+  Scenario: Of two just started schedulers with equally many gateways the first in order is used
     Given schedulers a, b and c that answered 0.1, 0.1 and 9 s ago
     And a has been ready for 0.5 s and is asked by 3 gateways
     And b has been ready for 0.6 s and is asked by 3 gateways
     Then a gateway that asks b asks a
     And a gateway that asks a asks a
 
-  Scenario: One that begins later is not moved to while all ask another
+  Scenario: Gateways do not switch to a scheduler that starts later while all use another
     Given schedulers a, b and c that answered 0.1, 0.1 and 9 s ago
     And a has been ready for 0.1 s and is asked by 0 gateways
     And b has been ready for 0.6 s and is asked by 6 gateways
--- a/troutstand/tests/serving.feature
+++ b/troutstand/tests/serving.feature
@@ -1,21 +1,21 @@
-Feature: Answers are whole, targets leave, hosts stop and domains are cut
+Feature: Responses are complete while targets drain, hosts stop and failure domains are partitioned
 
-  Scenario: An answer that breaks off is resumed where the engine can
+  Scenario: An interrupted response is resumed if the engine supports it
     Given a site of 1 domain whose engines resume
     When every engine breaks off after 5 events, once
     Then a streamed chat of 20 tokens is whole and its own
 
-  Scenario: An answer that breaks off goes to another target before the caller saw any
+  Scenario: A response interrupted before its first byte reached the caller is retried at another target
     Given a site of 1 domain whose engines cannot resume
     When the engine "north-engine-0" breaks off after 5 events, always
     Then 6 plain chats are whole and their own
 
-  Scenario: A stream that breaks off for good cannot be taken for an end
+  Scenario: A stream that fails for good ends in an error, not in a normal end
     Given a site of 1 domain whose engines cannot resume
     When every engine breaks off after 5 events, always
     Then a streamed chat of 20 tokens ends in an error and a broken connection
 
-  Scenario Outline: An engine that sends events <how> does not reach the caller so
+  Scenario Outline: Events that an engine sends <how> do not reach the caller that way
     Given a site of 1 domain whose engines resume
     When every engine sends events <how>
     Then a streamed chat of 20 tokens is <outcome>
@@ -26,7 +26,7 @@
       | twice               | whole and its own |
       | of another request  | refused with 5004 |
 
-  Scenario: A resend is never sent to a target that has had it
+  Scenario: A resent request never reaches the same target twice
     Given a site of 1 domain whose engines resume
     When one keyed chat is sent 3 times through different entry processes
     Then no engine had it twice
@@ -38,13 +38,13 @@
     Then every stream is whole and its own
     And the process stopped with exit code 0
 
-  Scenario: A leaving target gets nothing new
+  Scenario: A draining target gets no new requests
     Given a site of 1 domain whose engines resume
     When the table calls "north-engine-0" leaving and that is in force
     Then 6 plain chats are whole and their own
     And "north-engine-0" got none of them
 
-  Scenario: Higher work outlives lower work at an overloaded site
+  Scenario: Requests of a higher tier preempt those of a lower one at an overloaded site
     Given a site of 1 domain with 4 slots in all
     When drafts fill every slot and 4 urgent chats come
     Then every urgent chat is whole and its own
@@ -61,21 +61,21 @@
     Then the version is in force in "west" too
     And a command through "west-0.entry" is whole
 
-  Scenario: A diskless host that restarts in a cut domain serves no older version
+  Scenario: A diskless host that restarts in a partitioned failure domain serves no older version
     Given a relayed site of 3 failure domains
     And a second version is in force everywhere
     When "west" is cut off
     And "west-0.entry" is killed and restarted
     Then "west-0.entry" serves the second version
 
-  Scenario: A diskless host that restarts alone serves nothing until it knows
+  Scenario: A diskless host that restarts alone serves nothing until it has a configuration
     Given a relayed site of 3 failure domains
     When "west-0.entry" is killed, cut off and restarted
     Then "west-0.entry" refuses with 3007
     When the cut heals
     Then "west-0.entry" serves the first version
 
-  Scenario: A scheduler that is cut off from all loses its role before another has it
+  Scenario: A partitioned scheduler loses its lease before another gets the role
     Given a relayed site of 3 failure domains
     When the scheduler of "north" is cut off from all others
     Then another entry process of "north" becomes scheduler
--- a/troutstand/tests/soak.feature
+++ b/troutstand/tests/soak.feature
@@ -1,4 +1,4 @@
-Feature: The fault soak finds broken promises, and a short one finds none
+Feature: The checker of the fault soak finds violated guarantees, and a short soak has none
 
   Scenario: A record without a fault passes
     Given the record of a sound soak
@@ -49,10 +49,10 @@
     When a target is drained for 0.4 s, and 0.2 s later for 0.6 s
     Then it is listed as draining at 0.6 s, and as ready in a new life after 0.8 s
 
-  Scenario: A plan is the same for the same seed, and others differ
+  Scenario: A seed always gives the same plan, and other seeds give other plans
     Then seed 7 draws one plan twice and seed 8 another
 
-  Scenario Outline: A short soak of real processes keeps every promise
+  Scenario Outline: A short soak of real processes violates no guarantee
     When seed <seed> is soaked for 8 s
     Then the checker finds nothing
     And most calls were served
@@ -64,7 +64,7 @@
       | 699416042  |
       | 1278125007 |
 
-  Scenario: A short soak with rollouts keeps every promise
+  Scenario: A short soak with rollouts violates no guarantee
     When seed 11 is soaked for 12 s with rollouts
     Then the checker finds nothing
     And most calls were served
--- a/troutstand/tests/startup.feature
+++ b/troutstand/tests/startup.feature
@@ -15,7 +15,7 @@
       | no callers address      | 10   | 1004 | callers        |
       | a bad lease             | 10   | 1002 | limits.lease_s |
 
-  Scenario: Every fault is told at once
+  Scenario: All errors are reported at once
     Given the settings of an entry process with two hosts of one id and no callers address
     When troutstandd checks them
     Then it exits with 10 and prints 1003 and "north-0.entry"
@@ -31,12 +31,12 @@
     When troutstandd checks them
     Then it exits with 11 and prints 1006 and "data_folder"
 
-  Scenario: Settings in order are told so
+  Scenario: Valid settings are reported as such
     Given the settings of an entry process with no fault
     When troutstandd checks them
     Then it exits with 0 and prints 0 and "in order"
 
-  Scenario Outline: A routed <role> whose <field> is <value> is told so
+  Scenario Outline: A routed <role> whose <field> is <value> is refused
     Given the settings of a routed <role> whose <field> is <value>
     When troutstandd checks them
     Then it exits with 10 and prints 1002 and "<field> '<value>'"
@@ -63,7 +63,7 @@
       | scheduler | ip          | 127.0.0.1:7600      | IPv4 or IPv6    |
       | gateway   | bind_ip     | [::1]               | IPv4 or IPv6    |
 
-  Scenario Outline: A routed <role> without <field> is told so
+  Scenario Outline: A routed <role> without <field> is refused
     Given the settings of a routed <role> without <field>
     When troutstandd checks them
     Then it exits with 10 and prints 1004 and "<field> is needed for role <role>"
@@ -76,7 +76,7 @@
       | scheduler | target_list |
       | keeper    | data_folder |
 
-  Scenario Outline: A routed <role> whose <field> is <value> is in order
+  Scenario Outline: A routed <role> whose <field> is <value> is valid
     Given the settings of a routed <role> whose <field> is <value>
     When troutstandd checks them
     Then it exits with 0 and prints 0 and "in order"
@@ -90,13 +90,13 @@
       | keeper    | seeds[1]    | [::1]:7702         |
       | scheduler | bind_ip     | ::1                |
 
-  Scenario: A routed process that starts with a wrong address opens no port
+  Scenario: A routed process with an invalid address opens no port
     Given the settings of a routed gateway whose callers is 127.127.81.1.4:7700
     When troutstandd starts with them
     Then it exits with 10 and prints 1002 and "callers '127.127.81.1.4:7700'"
     And it has logged nothing
 
-  Scenario: Every fault of a routed process is told at once
+  Scenario: All errors of a routed process are reported at once
     Given the settings of a routed gateway with
       | field       | value               |
       | callers     | 127.127.81.1.4:7700 |
@@ -110,7 +110,7 @@
     And it prints 1002 and "seeds[1] 'keeper.example:7702'"
     And it has logged nothing
 
-  Scenario: A running routed process refuses wrong settings and goes on
+  Scenario: A running routed process refuses invalid settings and keeps running
     Given a routed gateway that runs
     When its settings get a bad seed and a bad target list
     Then it logs settings_refused with 1002 and both fields
--- a/troutstand/tests/succession.feature
+++ b/troutstand/tests/succession.feature
@@ -1,6 +1,6 @@
-Feature: The keeper set mends itself, and only when it should
+Feature: The keeper set replaces failed keepers, and only these
 
-  Scenario Outline: Who takes whose place
+  Scenario Outline: A keeper is replaced only when it has failed
     Given a set of keepers a, b and c for the loss of <losses> disks
     When <event>
     Then the next set <outcome>
@@ -17,13 +17,13 @@
       | 2      | d waits                                | has d copying beside c       |
       | 1      | all but a were silent since a stood still and d waits | is not due    |
 
-  Scenario: One disk copies at a time
+  Scenario: Only one disk copies at a time
     Given a set of keepers a, b and c for the loss of 2 disks
     When d waits
     And the next set is in force and e waits
     Then the next set is not due
 
-  Scenario: A copying disk that falls silent gives its place to another
+  Scenario: A copying disk that times out is replaced by another
     Given a set of keepers a, b and c for the loss of 1 disks
     When c is silent for 9 s and d waits
     And the next set is in force, d is silent for 9 s and e waits
@@ -38,13 +38,13 @@
       | 3    | 2      |
       | 5    | 3      |
 
-  Scenario: Word of a dead process fades although others pass it on
+  Scenario: A dead process's contact expires even if others keep passing it on
     Given a contact heard 3 s ago
     When the same word is passed on with its age for 25 s
     Then the contact is forgotten
 
   # A call that reached only some of the keepers must be repeatable, as its error message advises.
-  Scenario Outline: The call that forms the first set may be repeated
+  Scenario Outline: The call that makes the initial set is idempotent
     When a set of a, b and c is formed where <before>
     Then <outcome>
 
--- a/troutstand/tests/targetpages.feature
+++ b/troutstand/tests/targetpages.feature
@@ -1,6 +1,6 @@
-Feature: An entry of the list of targets that cannot be used spoils itself only
+Feature: An invalid entry of the target list does not affect the other entries
 
-  Scenario Outline: One spoiled entry between two sound ones
+  Scenario Outline: One invalid entry between two valid ones
     Given a page in the <form> form with two sound entries
     When an entry with <fault> stands between them
     Then the page names the two sound targets, and one spoiled entry
@@ -30,7 +30,7 @@
       | platform's | a list in its place          |
       | platform's | its end cut off              |
 
-  Scenario Outline: Whatever stands between sound entries, these are named and nothing else
+  Scenario Outline: Random data between valid entries does not affect them
     Given a page in the <form> form with two sound entries
     Then 500 pages with drawn entries between sound ones name the sound ones and the next page
 
@@ -39,25 +39,25 @@
       | own        |
       | platform's |
 
-  Scenario: Bytes that are no page are refused as a whole
+  Scenario: Random bytes are a page or are refused as a whole
     Then 500 drawn pieces of bytes are a page or are refused with 2003
 
-  Scenario: A target whose entry cannot be told apart stays for two seconds
+  Scenario: A target whose entry is unreadable stays listed for two seconds
     Given a list that named the targets a and b
     When the entry of a is unreadable
     Then a is listed as ready for 2 s, and no longer
 
-  Scenario: A target whose entry is spoiled gets nothing new, and is known for two seconds
+  Scenario: A target whose entry is invalid is listed as draining for two seconds
     Given a list that named the targets a and b
     When the entry of a has an unknown state
     Then a is listed as draining for 2 s, and no longer
 
-  Scenario: A target that is gone from a sound list is gone at once
+  Scenario: A target that is missing from a valid list is removed at once
     Given a list that named the targets a and b
     When the entry of a is gone
     Then a is not listed
 
-  Scenario: A site serves beside spoiled entries, and its log tells of each once
+  Scenario: A site serves despite invalid entries, and logs each one once
     Given a routed site whose list holds 3 spoiled entries beside its targets
     Then a call of /do/ through each gateway gets 200
     And a call of /stream/ through each gateway gets 200
--- a/troutstand/tests/trace.feature
+++ b/troutstand/tests/trace.feature
@@ -1,15 +1,15 @@
-Feature: Recorded traces replay to the recorded or stated outcome
+Feature: Recorded traces replay to the recorded or expected outcome
 
-  Scenario: What a daemon's scheduler recorded replays to the same actions
+  Scenario: The trace of a daemon's scheduler replays to the same actions
     Given the shared site
     When a mixed load has run on the shared site
     Then the scheduler's trace replays without a difference
 
-  Scenario: A replay tells where the outcome differs
+  Scenario: A replay reports where the outcome differs
     Given a recorded trace whose last grant names another target
     Then the replay differs in one step
 
-  Scenario Outline: The trace <trace> comes to its stated outcome
+  Scenario Outline: The trace <trace> replays to its expected outcome
     When the trace "<trace>" is replayed
     Then every action is the stated one
 
--- a/troutstand/tests/worstload.feature
+++ b/troutstand/tests/worstload.feature
@@ -8,7 +8,7 @@
     Then none of the highest kind is refused, and 0.99 of it is in time
     And 0.55 of the second kind is in time
 
-  Scenario Outline: What the orders of tiers bring: <order>
+  Scenario Outline: Requests in time with the order of tiers <order>
     When the recorded load is replayed, ranked by <order>
     Then <second> of the second kind and <lowest> of the lowest is in time
 
@@ -22,19 +22,19 @@
     Then a process without the setting ranks by the same order as a call without one
 
   # Repeated scans of a long queue over many open targets must not use up the scheduler's processor time.
-  Scenario: Those that wait for better targets do not hold up the decisions
+  Scenario: Requests that wait for better targets do not delay the decisions
     Given 266 requests wait, and 15 engines are open that suit none of them
     When 10 ticks pass
     Then none of them looked at more than 64 requests
     And each of the requests was looked at twice
 
-  Scenario: A request behind many that wait is given the open engine that suits it
+  Scenario: A request behind many waiting ones gets the open engine that suits it
     Given 266 requests wait, and 15 engines are open that suit none of them
     When a request that suits them comes last
     Then it has an engine within 5 ticks
 
   # A first byte or an end at one target must not cause a scan of all the other open targets.
-  Scenario: What happens at one engine makes nobody look at the others again
+  Scenario: An event at one engine causes no scan of the others
     Given 266 requests wait, and 15 engines are open that suit none of them
     When a request begins to answer at one of the open engines, and one ends there
     Then no other engine was looked at, and that one at most 8 times for each
