--- a/troutstand/tests/answer.feature
+++ b/troutstand/tests/answer.feature
@@ -1,6 +1,6 @@
-Feature: An answer is put together whole, in order, and its caller's own
+Feature: A response stream is reassembled completely and in order
 
-  Scenario Outline: Events that come <how> make the whole answer
+  Scenario Outline: Events that come <how> make the complete response
     Given an answer of 12 numbered events
     When its events come <how>
     Then the whole answer is given in order
@@ -17,12 +17,12 @@
       | with event 3 behind the end mark |
       | cut off in a gap behind the end mark |
 
-  Scenario: An event of another answer is refused
+  Scenario: An event of another response is refused
     Given an answer of 12 numbered events
     When event 5 carries another id
     Then it fails with 5004
 
-  Scenario Outline: An answer <how> is not whole
+  Scenario Outline: A response <how> is not complete
     Given an answer of 12 numbered events
     When it comes <how>
     Then the answer is not whole
@@ -33,7 +33,7 @@
       | without event 3          |
       | without a finish reason  |
 
-  Scenario: An endless answer is cut off
+  Scenario: A response over the size limit is cut off
     Given an answer limit of 1000 bytes
     When 12 events of 200 bytes come
     Then it fails with 5006
--- a/troutstand/tests/begun.feature
+++ b/troutstand/tests/begun.feature
@@ -1,16 +1,16 @@
-Feature: An answer that has begun goes on, or breaks off where the caller can see it
+Feature: A response that has started is resumed or visibly aborted
 
   # Guards against a second response head inside a stream that has started: the gateway resumed
   # the stream at another target and forwarded that target's error response whole.
   # second piece on; a stream that ends for good is logged as "stream_broken_off".
 
-  Scenario: The target that goes on with a stream fails
+  Scenario: The target that resumes a stream fails
     Given a routed site whose engines break streams and answer 500 with a text when asked to go on
     When a stream of /stream/resume-once/ is read to the end of its connection
     Then the caller has read one head, only whole events, and no end of the answer
     And the gateway's log tells that the stream broke off
 
-  Scenario Outline: The target that goes on with a stream answers <answer>
+  Scenario Outline: The target that resumes a stream answers <answer>
     Given a routed site whose engines break streams and answer <answer> when asked to go on
     When a stream of <route> is read to the end of its connection
     Then the caller has read one head, only whole events, and no end of the answer
@@ -51,11 +51,11 @@
       | break off once and go on with 204 of the same type | the first event and no end        |
       | break off once and go on with the type in capitals | every event and the end           |
 
-  Scenario: A second answer is dropped and the first one broken off
+  Scenario: A second response is dropped and the first one aborted
     When a server that answers a request twice is called and read to the end of the connection
     Then the caller has read one head, only what the handler wrote, and no end of the answer
 
-  Scenario Outline: A handler for the callers of an entry process fails amid its answer with <failure>
+  Scenario Outline: A handler of an entry process fails in mid-response with <failure>
     Given an application for callers whose handler begins an answer and fails with <failure>
     When it is called and read to the end of the connection
     Then the caller has read one head, only what the handler wrote, and no end of the answer
--- a/troutstand/tests/compression.feature
+++ b/troutstand/tests/compression.feature
@@ -1,6 +1,6 @@
-Feature: Configurations are small on slow links
+Feature: Configurations are sent compressed
 
-  Scenario: A keeper hands on a large configuration in little
+  Scenario: A keeper sends a large configuration compressed
     Given a keeper that holds a configuration of 1400 routes
     When a gateway without one asks it
     Then the answer takes at most 100000 bytes of its link
--- a/troutstand/tests/configuration.feature
+++ b/troutstand/tests/configuration.feature
@@ -1,6 +1,6 @@
-Feature: A whole configuration is checked and answers look-ups
+Feature: Configurations are validated and queried
 
-  Scenario Outline: A configuration that cannot be in force is refused
+  Scenario Outline: An inconsistent configuration is refused
     Given a configuration with <fault>
     Then checking it fails with 6009 and names <named>
 
@@ -11,7 +11,7 @@
       | weights that sum to 0        | sum to 0  |
       | a key of two workspaces      | share     |
 
-  Scenario Outline: The longest prefix of the host's routes wins
+  Scenario Outline: The route with the longest matching prefix of the host wins
     Given a configuration with nested routes
     Then the path <path> at <host> goes to route <route>
 
@@ -23,7 +23,7 @@
       | /b/x          | one.example      | none  |
       | /a/x          | two.example      | none  |
 
-  Scenario: A split follows its weights and one request always goes the same way
+  Scenario: A traffic split follows its weights and is stable for each request
     Given a configuration with a split of 90 and 10
     Then of 4000 requests between 3450 and 3750 go to the first service
     And each request goes the same way again
--- a/troutstand/tests/control.feature
+++ b/troutstand/tests/control.feature
@@ -1,11 +1,11 @@
-Feature: Operators' files, time line and codes
+Feature: Operator tools: table files, log timeline, result codes and statsd
 
-  Scenario: A table goes out to files and comes back the same
+  Scenario: A table written to files reads back the same
     Given the rows of a small site
     When they are written as files and read back
     Then the rows are the same
 
-  Scenario Outline: A file with <fault> is refused with the place
+  Scenario Outline: A file with <fault> is refused with its location
     Given the rows of a small site
     When they are written as files with <fault>
     Then reading them fails with 6002 and "<place>"
@@ -23,10 +23,10 @@
     When one sends a message that the other answers
     Then the merged lines stand in the order in which things happened
 
-  Scenario: Values with blanks, quotes and line breaks are read back
+  Scenario: Logged values with spaces, quotes and line breaks read back the same
     Then a line with the value 'a "b" = c' and a line break is read back
 
-  Scenario: The page of result codes is that of the code
+  Scenario: The generated page of result codes is up to date
     Then docs/RESULT-CODES.md is what the enum makes
 
   Scenario: Events reach a statsd receiver as counts, timings and gauges by tier
--- a/troutstand/tests/firstbytes.feature
+++ b/troutstand/tests/firstbytes.feature
@@ -1,6 +1,6 @@
-Feature: Logs tell how far first bytes were expected rightly
+Feature: Logs compare expected and actual first-byte times
 
-  Scenario: An answer is compared with the placement of its own request
+  Scenario: A response is compared with the placement of its own request
     Given a log in which request a was expected in 100 ms and came in 250 ms
     And request b was expected in 100 ms and came in 50 ms
     And an answer of request c without a placement
--- a/troutstand/tests/limitshandover.feature
+++ b/troutstand/tests/limitshandover.feature
@@ -1,8 +1,8 @@
-Feature: What workspaces took of their limits counts once, whoever decides next
+Feature: Workspace usage counts once after a change of scheduler
 
   # Guards against counting the usage that gateways report more than once when they attach to a
   # scheduler that has just started, which exhausts the limits.
-  Scenario Outline: A scheduler that has just begun counts what <count> gateways took once
+  Scenario Outline: A new scheduler counts the usage of <count> gateways once
     Given <count> gateways that took 0.5 of a workspace's limit together
     When all of them attach to a scheduler that has just begun
     Then it counts 0.5 of the limit as taken
@@ -14,25 +14,25 @@
       | 16    |
       | 73    |
 
-  Scenario: Gateways that move to and fro between two schedulers bring nothing twice
+  Scenario: Usage of gateways that switch back and forth between schedulers counts once
     Given 16 gateways that took 0.5 of a workspace's limit together
     When all of them attach to one scheduler and to another by turns, 6 times
     Then the last one counts 0.5 of the limit as taken
 
-  Scenario: A gateway that was cut off and comes back is counted once
+  Scenario: The usage of a gateway that reconnects counts once
     Given 16 gateways that took 0.5 of a workspace's limit together
     When all of them attach to a scheduler that has just begun
     And half of them fall silent, decide alone and come back
     Then it counts 0.5 of the limit as taken
 
   # Usage reported before the gateway restarted may still be inside the window.
-  Scenario: What was taken through a gateway that has started again still counts
+  Scenario: Usage through a restarted gateway still counts
     Given 16 gateways that took 0.5 of a workspace's limit together
     When all of them attach to a scheduler that has just begun
     And half of them start again and attach
     Then it counts 0.5 of the limit as taken
 
-  Scenario: A scheduler that has begun long ago goes by the gateways that it knows
+  Scenario: A long-running scheduler counts only the gateways that remain
     Given 16 gateways that took 0.5 of a workspace's limit together
     When all of them attach to a scheduler that has just begun
     And 40 s later 4 of them are left
--- a/troutstand/tests/links.feature
+++ b/troutstand/tests/links.feature
@@ -1,4 +1,4 @@
-Feature: Links between our processes are authenticated and bounded
+Feature: Links between processes are authenticated and bounded
 
   Background:
     Given the shared site
@@ -16,20 +16,20 @@
       | malformed CBOR    | 7002 | link_malformed |
       | an unknown type   | 7002 | link_malformed |
 
-  Scenario: A message over the limit closes the link and the process lives
+  Scenario: A message over the size limit closes the link and the process keeps running
     When a link sends a message over the limit to "north-0.entry"
     Then it is closed
     And the next good request is served
 
-  Scenario: A link that is lost amid a write is opened again
+  Scenario: A link lost during a write is reopened
     When a link's peer closes it while a message over the peer's limit is written
     Then the link is opened again
 
-  Scenario: A peer where nothing listens is told of once
+  Scenario: A peer that refuses connections is logged once
     When a link is opened again and again where nothing listens
     Then its log holds "link_unopened" once
 
-  Scenario: A full queue is told of once
+  Scenario: A full send queue is logged once
     When 20 messages are sent over a link whose queue takes 16
     Then 4 of them are not queued
     And its log holds "link_queue_full" once
--- a/troutstand/tests/lives.feature
+++ b/troutstand/tests/lives.feature
@@ -1,19 +1,19 @@
-Feature: What is known of a target hangs on its life
+Feature: Target measurements belong to one incarnation
 
   Background:
     Given a service whose 2 targets tell when they were born
 
-  Scenario: A target that starts again under its id is unknown again
+  Scenario: The measurements of a target are reset when it restarts under its id
     Given the first target runs 2 requests, holds prompt parts and has shown its speeds
     When the list tells of a new life of the first target
     Then the first target runs nothing, holds nothing and its speeds are unknown
 
-  Scenario: A target that starts again while it is held off gets work at once
+  Scenario: An ejected target that restarts gets requests at once
     Given the first target is held off for its failures
     When the list tells of a new life of the first target
     Then the first target gets a request
 
-  Scenario Outline: The same life is not forgotten
+  Scenario Outline: Measurements of the same incarnation are kept
     Given the first target runs 2 requests, holds prompt parts and has shown its speeds
     When the list tells <what> of the first target
     Then the first target runs 2 requests, and its speeds are known
@@ -23,27 +23,27 @@
       | the same life  |
       | no time        |
 
-  Scenario: A list of a peer that lags brings no older life back
+  Scenario: A stale target list of a peer does not restore an older incarnation
     Given the first target runs 2 requests, holds prompt parts and has shown its speeds
     When a peer's list tells of an older life of the first target
     Then the first target runs 2 requests, and its speeds are known
 
-  Scenario: A target whose time of day was set back has a new life all the same
+  Scenario: A target whose wall clock was set back still gets a new incarnation
     Given the first target runs 2 requests, holds prompt parts and has shown its speeds
     When the list tells of a new life with an earlier time of the first target
     Then the first target runs nothing, holds nothing and its speeds are unknown
 
-  Scenario: A gateway that attaches brings nothing of a life that is over
+  Scenario: An attaching gateway does not report measurements of an ended incarnation
     When a gateway brings a run and speeds of an earlier life of the first target
     Then the first target runs nothing, holds nothing and its speeds are unknown
     When a gateway brings a run and speeds of the present life of the first target
     Then the first target runs 1 requests, and its speeds are known
 
-  Scenario: A gateway forgets the speeds of a life that is over
+  Scenario: A gateway drops the speeds of an ended incarnation
     Given a gateway that saw speeds of two lives of a target
     Then it passes on those of the later life only
 
-  Scenario Outline: The platform's list tells a time of start, or none
+  Scenario Outline: The platform's list gives a start time or none
     When an entry of the platform's list is born <born>
     Then its target is born <told>
 
--- a/troutstand/tests/models.feature
+++ b/troutstand/tests/models.feature
@@ -1,6 +1,6 @@
-Feature: The state machines that the daemon runs hold in every reachable state
+Feature: Model checks of the daemon's state machines
 
-  Scenario Outline: <model> holds
+  Scenario Outline: The invariants of <model> hold in every reachable state
     When the model "<model>" is searched to its end
     Then every property holds
 
@@ -19,7 +19,7 @@
       | rollout                            |
       | rollout, a host is suspended       |
 
-  Scenario Outline: Without its guard <model> fails
+  Scenario Outline: The invariants of <model> fail without its guard
     When the model "<model>" is searched to its end
     Then the property "<property>" is violated
 
--- a/troutstand/tests/namedlimits.feature
+++ b/troutstand/tests/namedlimits.feature
@@ -1,23 +1,23 @@
-Feature: Targets that name how many requests a second they take
+Feature: Rate limits that targets name, with real processes
 
   # Guards against ignoring the rate limit, one for all gateways together, that targets name in
   # their responses.
 
-  Scenario: Engines that name a limit get no more than that, and the others take the load
+  Scenario: Engines get no more than the rate limit they name, and the others take the load
     Given a routed site with 5 engines and 2 plain targets
     When 2 engines name a limit of 1.7 requests a second
     And for 8 s 30 calls a second of /stream/ are made
     Then no target got more than its limit of 1.7 requests a second allows
     And at least 0.95 of these calls are answered
 
-  Scenario: Half of the targets of a plain service name a limit
+  Scenario: Half of the targets of a plain service name a rate limit
     Given a routed site with 0 engines and 8 plain targets that work for 0.2 s
     When 4 plain targets name a limit of 2 requests a second
     And for 7 s 60 calls a second of /get/ are made
     Then no target got more than its limit of 2 requests a second allows
     And at least 0.95 of these calls are answered
 
-  Scenario Outline: Every answer tells the limit, and repeats keep to it as well
+  Scenario Outline: Responses of every kind name the rate limit, and retries respect it
     Given a routed site with <engines> engines and <plain> plain targets
     When 2 <kind> name a limit of 1 requests a second and answer with <fault>
     And for 7 s 40 calls a second of <route> are made
@@ -30,7 +30,7 @@
       | 2       | 0     | engines       | cut answers | /stream/resume/ |
       | 2       | 0     | engines       | cut answers | /stream/        |
 
-  Scenario: A limit outlives the scheduler
+  Scenario: A rate limit survives a change of scheduler
     Given a routed site with 0 engines and 5 plain targets that work for 0.2 s
     When 2 plain targets name a limit of 2 requests a second
     And for 2.5 s 60 calls a second of /get/ are made
@@ -38,7 +38,7 @@
     And for 5 s 60 calls a second of /get/ are made
     Then no target got more than its limit of 2 requests a second allows
 
-  Scenario: Gateways that decide alone keep to a limit together
+  Scenario: Gateways that decide locally respect a rate limit together
     Given a routed site with 0 engines and 5 plain targets that work for 0.2 s
     When 2 plain targets name a limit of 2 requests a second
     And for 2.5 s 60 calls a second of /get/ are made
@@ -47,7 +47,7 @@
     Then no target got more than its limit of 2 requests a second allows
     And at least 0.95 of these calls are answered
 
-  Scenario: A limit outlives a scheduler that is killed and starts again
+  Scenario: A rate limit survives a restart of the scheduler
     Given a routed site with 0 engines and 5 plain targets that work for 0.2 s
     When 2 plain targets name a limit of 2 requests a second
     And for 2.5 s 60 calls a second of /get/ are made
@@ -56,7 +56,7 @@
     And for 5 s 60 calls a second of /get/ are made
     Then no target got more than its limit of 2 requests a second allows
 
-  Scenario: Two schedulers that each have some of the gateways spend one limit
+  Scenario: Two schedulers with part of the gateways each share one rate limit
     Given a routed site with 0 engines and 5 plain targets, whose links can be cut
     When 2 plain targets name a limit of 2 requests a second
     And for 2.5 s 60 calls a second of /get/ are made
@@ -66,7 +66,7 @@
     And at least 0.95 of these calls are answered
     And both schedulers placed requests at a target with a limit
 
-  Scenario: A target that names its limit no longer is used again within seconds
+  Scenario: A target that no longer names a rate limit is used fully within seconds
     Given a routed site with 0 engines and 3 plain targets that work for 0.1 s
     When 1 plain targets name a limit of 0.5 requests a second
     And for 3 s 60 calls a second of /get/ are made
@@ -74,7 +74,7 @@
     And for 5 s 60 calls a second of /get/ are made
     Then the first plain target got at least 20 requests in the last 2 s
 
-  Scenario: Where all targets name a limit, callers hear in time when to come back
+  Scenario: If all targets name a rate limit, callers are refused in time with a Retry-After
     Given a routed site with 0 engines and 2 plain targets
     When 2 plain targets name a limit of 1 requests a second
     And for 6 s 20 calls a second of /get/ are made
--- a/troutstand/tests/regression.feature
+++ b/troutstand/tests/regression.feature
@@ -1,4 +1,4 @@
-Feature: A regression run says which site fell
+Feature: A regression run names the site that got worse
 
   Scenario Outline: A mean that falls by <fall> <verdict>
     Given kept figures of 0.8 for two days
@@ -10,7 +10,7 @@
       | 0.02 | holds   |
       | 0.04 | fails   |
 
-  Scenario: A broken rule fails whatever the worth is
+  Scenario: A broken rule fails a run whatever its figure is
     Given kept figures of 0.8 for two days
     When a day comes to 0.9 with a rule broken
     Then the run fails
--- a/troutstand/tests/relay.feature
+++ b/troutstand/tests/relay.feature
@@ -1,6 +1,6 @@
-Feature: Only a target's whole answer to the very request passes
+Feature: Only a complete response to the request itself is relayed
 
-  Scenario Outline: What a target sends and what is made of it
+  Scenario Outline: Handling of what a target sends
     Given a target that answers <answer>
     When a <kind> request is sent
     Then the outcome is <outcome>
@@ -22,59 +22,59 @@
       | with 100 first                                | repeatable    | whole       |
       | nothing and resets                            | unrepeatable  | broken      |
 
-  Scenario: Nothing was sent where no connection came up
+  Scenario: A failed connect counts as not sent
     Given an address where nothing listens
     When an unrepeatable request is sent
     Then the outcome is unsent
 
-  Scenario: A second answer behind the first belongs to no request
+  Scenario: A second response on a connection is discarded
     Given a target that answers twice, then in full
     When two repeatable requests are sent one after the other
     Then both outcomes are whole and came on 2 connections
 
-  Scenario: A connection is kept
+  Scenario: A connection is reused
     Given a target that answers in full
     When two repeatable requests are sent one after the other
     Then both outcomes are whole and came on 1 connections
 
-  Scenario: A kept connection that the target has forgotten costs a repeatable request nothing
+  Scenario: A repeatable request is resent if its reused connection was closed by the target
     Given a target that answers in full, resets at the next request, then answers in full
     When two repeatable requests are sent one after the other
     Then both outcomes are whole and came on 2 connections
 
-  Scenario: A request that took its target down on a kept connection counts as sent
+  Scenario: A request that crashed its target on a reused connection counts as sent
     Given a target that answers in full, ends at the next request
     When two repeatable requests are sent one after the other
     Then the second outcome is broken, since the target is gone
 
-  Scenario: A request that was written before its target asked for rest counts as sent
+  Scenario: A request written before its target asked for a backoff counts as sent
     Given a target that answers in full, resets at the next request, then answers in full
     And the target asks for rest while the second request is under way
     When two repeatable requests are sent one after the other
     Then the second outcome is broken and the target saw 2 requests
 
-  Scenario: An unrepeatable request is not sent twice on a forgotten connection
+  Scenario: A non-repeatable request is not resent if its reused connection was closed
     Given a target that answers in full, resets at the next request, then answers in full
     When two unrepeatable requests are sent one after the other
     Then the second outcome is broken and the target saw 2 requests
 
-  Scenario: A long body is written to its end though the answer comes early
+  Scenario: A long body is written completely although the response comes early
     Given a target that answers before it reads the body
     When a request with a body of 3000000 bytes is sent, then another
     Then both outcomes are whole and the target read both bodies
 
-  Scenario: The request goes on unaltered but for what concerns this side
+  Scenario: The caller's credentials, connection headers and forged orders are not forwarded
     Given a target that answers in full
     When a repeatable request is sent
     Then the target got its path, its own headers, the time left and the expected target
     And the target got neither the key nor the headers of the caller's connection
     And the target got the caller's workspace, and no order that a caller wrote
 
-  Scenario: Events are passed on whole and the last one is remembered
+  Scenario: Events are forwarded whole and the last event id is stored
     When a stream breaks within its third event
     Then two events were passed on and the stream resumes behind the second
 
-  Scenario: Only what comes again behind a resume is dropped
+  Scenario: Only events repeated after a resume are dropped
     When a stream sends two events under one id
     Then both were passed on
     When it is resumed by a target that begins with the event before the last
