--- a/troutstand/testing/routedscene.py
+++ b/troutstand/testing/routedscene.py
@@ -1,4 +1,4 @@
-"""Hold a routed site of real processes with its stand-ins and its caller."""
+"""Run a routed site of real processes with simulated targets and a caller."""
 
 from __future__ import annotations
 
@@ -30,23 +30,23 @@
 
 @dataclass
 class Scene:
-    """Hold a routed site, its stand-ins and its caller, on a loop in a thread."""
+    """Run a routed site, its simulated targets and its caller on a background loop."""
 
     folder: Path
-    # Version of the targets' software; empty is not told.
+    # Software version that the targets report; empty reports none.
     version: str = ""
     engines: int = 2
     plain: int = 2
-    # How long a process has to stop, in seconds.
+    # Shutdown timeout of a process.
     stop_s: float = 2.0
-    # How long its routes hold a request, in milliseconds.
+    # Timeout of the routes.
     timeout_ms: int = TIMEOUT_MS
     gateways: int = 2
     shares_fairly: bool = False
     protects_tiers: bool = False
-    # The first configuration; by default one workspace with a route of each kind.
+    # The first configuration; defaults to one workspace with a route of each kind.
     configuration: ConfigurationPlan | None = None
-    # Whether links can be harmed, through the proxies of the processes.
+    # Whether all links go through fault proxies.
     is_proxied: bool = False
     proxies: dict[str, FaultProxy] = field(default_factory=dict)
     invalid_entries: list[bytes] = field(default_factory=list)
@@ -54,7 +54,7 @@
     targets: list[StandInTarget] = field(default_factory=list)
 
     def open(self, subnet: str, is_configured: bool = True) -> None:
-        """Start everything; wait until the gateways are ready where they have what to serve."""
+        """Start the site; if it is configured, wait until the gateways are ready."""
         self.background.run(self._open(subnet, is_configured))
 
     async def _open(self, subnet: str, is_configured: bool) -> None:
@@ -87,18 +87,18 @@
             await self.configure()
 
     async def configure(self) -> None:
-        """Put the first configuration in force and wait until the gateways are ready."""
+        """Write the first configuration and wait until the gateways and keepers apply it."""
         plan = self.configuration or ConfigurationPlan(routes=make_routes(self.timeout_ms))
         await self.site.write_anywhere(self.session, plan.encode())
         await self.site.wait_ready(self.session)
-        # On a busy machine two keepers suffice for all that before a third has started.
-        await wait_until(self._is_told_everywhere, "every keeper tells the configuration")
+        # A quorum of two keepers can accept the configuration before the third has started.
+        await wait_until(self._is_configuration_everywhere, "every keeper has the configuration")
 
-    async def _is_told_everywhere(self) -> bool:
+    async def _is_configuration_everywhere(self) -> bool:
         return None not in await read_configurations(self)
 
     def stop(self) -> None:
-        """End what this scene started."""
+        """Stop the site, the targets and the background loop."""
         self.site.stop()
         self.background.run(self._close())
         self.background.close()
@@ -118,6 +118,6 @@
 
 
 async def read_configurations(scene: Scene) -> list[bytes | None]:
-    """Return the configuration that each keeper tells."""
+    """Return the configuration of each running keeper; None if it does not respond."""
     keepers = [p for p in scene.site.list_role(RoutingRole.keeper) if p.is_running]
     return [await scene.site.read(scene.session, keeper.name) for keeper in keepers]
--- a/troutstand/testing/routedsite.py
+++ b/troutstand/testing/routedsite.py
@@ -1,4 +1,4 @@
-"""Start a routed site's real processes on loopback, each host at its own IP number."""
+"""Run a routed site's processes on loopback, each host at its own address."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 _READINESS_PORT = 7701
 _CONTROL_PORT = 7702
 _POLL_S = 0.02
-_WAIT_S = 30.0
+_WAIT_TIMEOUT_S = 30.0
 KEY = "key-one"
 HOST = "one.example"
 TIMEOUT_MS = 4000
@@ -45,7 +45,7 @@
 
 @dataclass
 class HostProcess:
-    """Hold one process of the site and how it is started."""
+    """Hold one process of the site and its settings."""
 
     name: str
     settings: RoutingSettings
@@ -56,19 +56,19 @@
 
     @property
     def is_running(self) -> bool:
-        """Tell whether the process lives."""
+        """Return whether the process is running."""
         return self.child is not None and self.child.poll() is None
 
 
 @dataclass
 class RoutedPlan:
-    """Say what a site consists of.
+    """Describe the processes and options of a site.
 
     Parameters
     ----------
     subnet
-        The second and third number of the hosts' addresses, so that sites beside
-        each other do not meet.
+        The second and third octet of the hosts' addresses, different for sites that
+        run at the same time.
     """
 
     gateways: int = 2
@@ -84,22 +84,22 @@
 
 
 class RoutedSite:
-    """Run a routed site and talk to it as callers and operators do."""
+    """Run a routed site and send requests to its control and readiness addresses."""
 
     def __init__(self, folder: Path, plan: RoutedPlan, targets: StandInList) -> None:
         self.folder = folder
         self.plan = plan
         self.targets = targets
         self.processes: dict[str, HostProcess] = {}
-        self._hosts = 0
-        self._is_first = True
+        self._host_count = 0
+        self._is_first_start = True
 
     def _next_ip(self) -> str:
-        self._hosts += 1
-        return f"127.{self.plan.subnet}.{self._hosts}"
+        self._host_count += 1
+        return f"127.{self.plan.subnet}.{self._host_count}"
 
     def prepare(self) -> None:
-        """Write the settings of every process; the target list must listen already."""
+        """Define every process; the target list must be listening already."""
         ips = [self._next_ip() for _ in range(self.plan.keepers)]
         self.seeds = [f"{ip}:{_CONTROL_PORT}" for ip in ips[:3]]
         for number, ip in enumerate(ips):
@@ -110,7 +110,7 @@
             self.add(RoutingRole.gateway, f"gateway-{number + 1}", self._next_ip())
 
     def add(self, role: RoutingRole, name: str, ip: str | None = None) -> HostProcess:
-        """Add a process, at a new address unless one is given."""
+        """Add a process; it gets a new address unless one is given."""
         ip = ip or self._next_ip()
         domain = self.plan.domains[len(self.processes) % len(self.plan.domains)]
         settings = RoutingSettings(
@@ -123,7 +123,7 @@
             first_port=FIRST_PORT,
             link_key_hex=LINK_KEY_HEX,
             seeds=self.seeds,
-            first_start=self._is_first,
+            first_start=self._is_first_start,
             callers=f"{ip}:{_CALLERS_PORT}" if role is RoutingRole.gateway else "",
             readiness=f"{ip}:{_READINESS_PORT}" if role is RoutingRole.gateway else "",
             control=f"{ip}:{_CONTROL_PORT}" if role is RoutingRole.keeper else "",
@@ -151,28 +151,28 @@
         process.starts += 1
 
     def start_all(self) -> None:
-        """Start every process; later starts are no longer first ones."""
+        """Start every process, and clear `first_start` for later starts."""
         for name in list(self.processes):
             self.start(name)
-        self._is_first = False
+        self._is_first_start = False
         for process in self.processes.values():
             process.settings = msgspec.structs.replace(process.settings, first_start=False)
 
     def send_signal(self, name: str, number: signal.Signals) -> None:
-        """Signal a process that this site started, if it is still one of the site's."""
+        """Send a signal to a process of this site if it is running."""
         process = self.processes.get(name)
         child = process.child if process is not None else None
         if child is not None and child.poll() is None:
             child.send_signal(number)
 
     def handles_signal(self, name: str, number: signal.Signals) -> bool:
-        """Tell whether a process ignores or catches a signal, by what the kernel shows."""
+        """Return whether a process ignores or catches a signal, as /proc reports."""
         process = self.processes.get(name)
         child = process.child if process is not None else None
-        return child is not None and _read_handled(child.pid) & 1 << number - 1 != 0
+        return child is not None and _read_handled_signals(child.pid) & 1 << number - 1 != 0
 
     def kill(self, name: str) -> None:
-        """Kill a process and wait until it is gone."""
+        """Kill a process and wait until it has exited."""
         child = self.processes[name].child
         if child is not None and child.poll() is None:
             child.send_signal(signal.SIGCONT)
@@ -180,7 +180,7 @@
             child.wait()
 
     def stop(self) -> None:
-        """Kill whatever still runs."""
+        """Kill all processes."""
         for name in self.processes:
             self.kill(name)
 
@@ -189,38 +189,38 @@
         return [p for p in self.processes.values() if p.settings.role is role]
 
     def read_logs(self) -> str:
-        """Return what all processes wrote."""
+        """Return the logs of all processes."""
         return "".join(p.log.read_text() for p in self.processes.values() if p.log.exists())
 
-    # As operators and callers do
+    # Control and readiness requests
 
     async def write(self, session: aiohttp.ClientSession, name: str, body: bytes) -> int:
-        """Send a configuration to one keeper; 0 stands for no clear answer."""
+        """Send a configuration to one keeper and return the status; 0 if there is no response."""
         url = f"http://{self.processes[name].settings.control}/configuration"
         try:
-            async with session.put(url, data=body, timeout=_limit(3.0)) as response:
+            async with session.put(url, data=body, timeout=_make_timeout(3.0)) as response:
                 await response.read()
                 return response.status
         except (aiohttp.ClientError, TimeoutError, OSError):
             return 0
 
     async def write_anywhere(self, session: aiohttp.ClientSession, body: bytes) -> None:
-        """Send a configuration until it is acknowledged."""
+        """Send a configuration to the keepers in turn until one acknowledges it."""
         names = [p.name for p in self.list_role(RoutingRole.keeper)]
 
-        async def is_taken() -> bool:
+        async def is_acknowledged() -> bool:
             for name in names:
                 if await self.write(session, name, body) == 200:
                     return True
             return False
 
-        await wait_until(is_taken, "a configuration is acknowledged")
+        await wait_until(is_acknowledged, "a configuration is acknowledged")
 
     async def read(self, session: aiohttp.ClientSession, name: str) -> bytes | None:
-        """Read the configuration at one keeper, or None where it cannot tell."""
+        """Read the configuration of one keeper; return None if it does not respond with one."""
         url = f"http://{self.processes[name].settings.control}/configuration"
         try:
-            async with session.get(url, timeout=_limit(3.0)) as response:
+            async with session.get(url, timeout=_make_timeout(3.0)) as response:
                 data = await response.read()
                 return data if response.status == 200 else None
         except (aiohttp.ClientError, TimeoutError, OSError):
@@ -229,10 +229,10 @@
     async def begin_rollout(
         self, session: aiohttp.ClientSession, name: str, body: dict[str, object]
     ) -> int:
-        """Send an order for a rollout to one keeper; 0 stands for no clear answer."""
+        """Order a rollout at one keeper and return the status; 0 if there is no response."""
         url = f"http://{self.processes[name].settings.control}/rollouts"
         try:
-            async with session.post(url, json=body, timeout=_limit(3.0)) as response:
+            async with session.post(url, json=body, timeout=_make_timeout(3.0)) as response:
                 await response.read()
                 return response.status
         except (aiohttp.ClientError, TimeoutError, OSError):
@@ -241,60 +241,60 @@
     async def read_rollout(
         self, session: aiohttp.ClientSession, name: str, service: str
     ) -> tuple[int, str]:
-        """Return the status and the state that one keeper tells of a rollout."""
+        """Return the HTTP status and the rollout's state from one keeper."""
         url = f"http://{self.processes[name].settings.control}/rollouts/{service}"
         try:
-            async with session.get(url, timeout=_limit(3.0)) as response:
-                told = await response.json()
-                return response.status, str(told.get("state", ""))
+            async with session.get(url, timeout=_make_timeout(3.0)) as response:
+                reply = await response.json()
+                return response.status, str(reply.get("state", ""))
         except (aiohttp.ClientError, TimeoutError, OSError):
             return 0, ""
 
     async def is_ready(self, session: aiohttp.ClientSession, name: str) -> bool:
-        """Tell whether a gateway calls itself ready."""
+        """Return whether a gateway reports that it is ready."""
         url = f"http://{self.processes[name].settings.readiness}/ready"
         try:
-            async with session.get(url, timeout=_limit(1.0)) as response:
+            async with session.get(url, timeout=_make_timeout(1.0)) as response:
                 return response.status == 200
         except (aiohttp.ClientError, TimeoutError, OSError):
             return False
 
     async def wait_ready(self, session: aiohttp.ClientSession) -> None:
-        """Wait until every gateway that runs is ready."""
+        """Wait until every running gateway is ready."""
         for process in self.list_role(RoutingRole.gateway):
             if process.is_running:
                 name = process.name
                 await wait_until(lambda n=name: self.is_ready(session, n), f"{name} is ready")
 
 
-def _read_handled(pid: int) -> int:
+def _read_handled_signals(pid: int) -> int:
     """Return the signals that a process ignores or catches, as a bit mask."""
     try:
         lines = Path(f"/proc/{pid}/status").read_text().splitlines()
     except FileNotFoundError:
-        # The process has ended and was waited for.
+        # The process has exited and was reaped.
         return 0
     masks = dict(line.split(":\t", 1) for line in lines if line.startswith("Sig"))
     return int(masks["SigIgn"], 16) | int(masks["SigCgt"], 16)
 
 
-def _limit(total_s: float) -> aiohttp.ClientTimeout:
+def _make_timeout(total_s: float) -> aiohttp.ClientTimeout:
     return aiohttp.ClientTimeout(total=total_s)
 
 
-async def wait_until(condition: Callable, what: str, limit_s: float = _WAIT_S) -> None:
-    """Wait for a condition, polling, up to a bound."""
+async def wait_until(condition: Callable, what: str, limit_s: float = _WAIT_TIMEOUT_S) -> None:
+    """Poll a condition until it holds; raise AssertionError after `limit_s`."""
     end_s = time.monotonic() + limit_s
     while time.monotonic() < end_s:
         if await condition():
             return
         await asyncio.sleep(_POLL_S)
-    raise AssertionError(f"not within {limit_s} s: {what}")
+    raise AssertionError(f"timed out after {limit_s} s: {what}")
 
 
 @dataclass
 class ConfigurationPlan:
-    """Say what a test's configuration holds."""
+    """Describe a test's configuration."""
 
     version: int = 1
     routes: list[Route] = field(default_factory=list)
@@ -302,7 +302,7 @@
     services: tuple[str, ...] = ("work", "engine")
 
     def encode(self) -> bytes:
-        """Write the configuration in the product's own form."""
+        """Encode the configuration as JSON."""
         configuration = Configuration(
             version=self.version,
             limits=CallerLimits(),
@@ -333,7 +333,7 @@
     attempts: int = 1,
     resumable: bool = False,
 ) -> Route:
-    """Make a route of the tests' host name."""
+    """Make a route for the tests' virtual host."""
     return Route(
         name=name,
         host=HOST,
--- a/troutstand/testing/score.py
+++ b/troutstand/testing/score.py
@@ -1,4 +1,4 @@
-"""Score a load's results: goodput by tier, wasted prefill, and broken promises."""
+"""Score the results of a load: goodput by tier, wasted prefill and command guarantees."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True)
 class TierScore:
-    """Tell what became of one tier's requests."""
+    """Count the outcomes of one tier's requests."""
 
     tier: str
     offered: int
@@ -45,18 +45,18 @@
 
 
 def compute_percentile(values: list[float], share: float) -> float:
-    """Return the value below which a share of the values lies."""
+    """Return the percentile for `share` from 0 to 1; 0.0 if there are no values."""
     ordered = sorted(values)
     return ordered[min(len(ordered) - 1, int(share * len(ordered)))] if ordered else 0.0
 
 
 def score_tiers(results: Iterable[Result], rows: Iterable[Row]) -> list[TierScore]:
-    """Score every tier's requests for models, the first-ranked tier first."""
+    """Score each tier's model requests, in order of rank."""
     tiers = sorted((row for row in rows if isinstance(row, Tier)), key=lambda row: row.rank)
     scores: list[TierScore] = []
-    kept = [result for result in results if not result.drawn.is_command]
+    model_results = [result for result in results if not result.drawn.is_command]
     for tier in tiers:
-        own = [result for result in kept if result.drawn.tier == tier.name]
+        own = [result for result in model_results if result.drawn.tier == tier.name]
         first = [r.first_token_s - r.sent_s for r in own if r.first_token_s is not None]
         scores.append(
             TierScore(
@@ -72,7 +72,7 @@
 
 
 def count_refusals(results: Iterable[Result]) -> dict[str, int]:
-    """Count refusals by code, and broken connections."""
+    """Count refusals by code, and connection errors by type."""
     counts: Counter[str] = Counter()
     for result in results:
         if result.refusal:
@@ -84,7 +84,7 @@
 
 @dataclass(frozen=True)
 class PrefillWaste:
-    """Tell how many prompt tokens were computed in vain."""
+    """Count prompt tokens and how many of them were computed needlessly."""
 
     prompt_tokens: int
     computed_tokens: int
@@ -92,32 +92,32 @@
 
     @property
     def share(self) -> float:
-        """Return the wasted share of all prompt tokens."""
+        """Return the wasted share of all prompt tokens, from 0 to 1."""
         return self.wasted_tokens / self.prompt_tokens if self.prompt_tokens else 0.0
 
 
 @dataclass(frozen=True)
-class _Started:
+class _StartedRecord:
     engine: str
     record: EngineRecord
 
 
-def _read_engine(path: Path) -> list[_Started]:
+def _read_started(path: Path) -> list[_StartedRecord]:
     lines = path.read_bytes().splitlines() if path.exists() else []
     records = [msgspec.json.decode(line, type=EngineRecord) for line in lines]
-    return [_Started(path.stem, record) for record in records if record.event == "started"]
+    return [_StartedRecord(path.stem, record) for record in records if record.event == "started"]
 
 
 def score_prefill_waste(
     record_files: Iterable[Path], results: Iterable[Result], cache_tokens: int
 ) -> PrefillWaste:
-    """Replay the engines' own records and count what was computed in vain.
+    """Replay the engines' records and count wasted prefill.
 
-    A token is wasted where a target held it in its cache and another computed
-    it, or where its request got no whole answer.
+    A token is wasted if another target had it in its cache, or if its request
+    got no correct response.
     """
     prompts = {result.drawn.nonce: result for result in results if not result.drawn.is_command}
-    started = [item for path in record_files for item in _read_engine(path)]
+    started = [item for path in record_files for item in _read_started(path)]
     caches: dict[str, PrefixCache] = {}
     prompt = computed = wasted = 0
     for item in sorted(started, key=lambda item: item.record.at_s):
@@ -125,20 +125,20 @@
         if result is None:
             continue
         prefixes = hash_prefixes(MODEL, f"user: {result.drawn.prompt}")
-        held = max((cache.match(prefixes) for cache in caches.values()), default=0)
+        max_cached = max((cache.match(prefixes) for cache in caches.values()), default=0)
         own = caches.setdefault(item.engine, PrefixCache(cache_tokens))
         own.insert(prefixes)
         record = item.record
         prompt += record.prompt_tokens
         computed += record.computed_tokens
         wasted += record.computed_tokens if not result.is_correct else 0
-        wasted += max(0, held - record.held_tokens) if result.is_correct else 0
+        wasted += max(0, max_cached - record.held_tokens) if result.is_correct else 0
     return PrefillWaste(prompt, computed, wasted)
 
 
 @dataclass(frozen=True)
 class CommandScore:
-    """Tell what became of the commands, against the services' own records."""
+    """Count the outcomes of commands, checked against the services' records."""
 
     sent: int
     done: int
@@ -149,7 +149,7 @@
 
 
 def count_command_runs(record_files: Iterable[Path]) -> Counter[str]:
-    """Count how often each command's body ran, by the services' own records."""
+    """Count from the services' records how often each command's body ran."""
     runs: Counter[str] = Counter()
     for path in record_files:
         for line in path.read_bytes().splitlines() if path.exists() else []:
@@ -158,15 +158,15 @@
 
 
 def score_commands(results: Iterable[Result], record_files: Iterable[Path]) -> CommandScore:
-    """Compare what callers were told with what ran."""
+    """Compare the responses to commands with the services' records."""
     runs = count_command_runs(record_files)
     commands = [result for result in results if result.drawn.is_command]
-    told_not_run = [r for r in commands if r.refusal is not None and r.refusal.run == "no"]
+    reported_not_run = [r for r in commands if r.refusal is not None and r.refusal.run == "no"]
     return CommandScore(
         sent=len(commands),
         done=sum(result.is_correct for result in commands),
         ran_twice=sum(count > 1 for count in runs.values()),
-        false_not_run=sum(runs[result.drawn.nonce] > 0 for result in told_not_run),
+        false_not_run=sum(runs[result.drawn.nonce] > 0 for result in reported_not_run),
         lost=sum(result.is_correct and runs[result.drawn.nonce] == 0 for result in commands),
         unknown=sum(r.refusal is not None and r.refusal.run == "unknown" for r in commands),
     )
--- a/troutstand/testing/scriptedtarget.py
+++ b/troutstand/testing/scriptedtarget.py
@@ -1,4 +1,4 @@
-"""Stand in for a target that answers byte for byte as a test says."""
+"""Run a target that replies with the exact bytes that a test defines."""
 
 from __future__ import annotations
 
@@ -18,19 +18,19 @@
 
 
 class AfterReply(Enum):
-    """Say what the target does behind an answer's bytes."""
+    """Name what the target does after the bytes of a reply."""
 
     KEEP = "keep"
     END = "end"
     RESET = "reset"
-    # The process ends: nothing listens any more, and the connection is reset.
+    # As if the process exits: stops listening and resets the connection.
     GONE = "gone"
     SILENT = "silent"
 
 
 @dataclass(frozen=True)
 class Reply:
-    """Hold the bytes of one answer and what follows them."""
+    """Hold the bytes of one reply and the action after them."""
 
     data: bytes
     close: AfterReply = AfterReply.KEEP
@@ -39,14 +39,14 @@
 
 @dataclass
 class ReceivedRequest:
-    """Hold one request as it came."""
+    """Hold one request as received."""
 
     head: bytes
     body: bytes
     connection: int
 
     def find_header(self, name: str) -> str:
-        """Return a header's value, or nothing."""
+        """Return a header's value, or an empty string."""
         for line in self.head.decode("latin-1").split("\r\n")[1:]:
             key, _, value = line.partition(":")
             if key.strip().lower() == name:
@@ -56,7 +56,7 @@
 
 @dataclass
 class ScriptedTarget:
-    """Answer the requests in their order with the replies given; the last one repeats."""
+    """Answer requests with the given replies in order, repeating the last one."""
 
     replies: Sequence[Reply]
     received: list[ReceivedRequest] = field(default_factory=list)
@@ -119,7 +119,7 @@
 def reset_connection(writer: asyncio.StreamWriter) -> None:
     """Close a connection so that its peer sees a reset."""
     raw = writer.get_extra_info("socket")
-    # A connection that is closed already needs no reset.
+    # The socket may be closed already.
     with contextlib.suppress(OSError):
         raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_RESET)
     writer.transport.abort()
--- a/troutstand/testing/service.py
+++ b/troutstand/testing/service.py
@@ -1,4 +1,4 @@
-"""Stand in for a plain service that writes down every call it runs."""
+"""Simulate a plain service that records every call it runs."""
 
 from __future__ import annotations
 
@@ -12,14 +12,13 @@
 
 from troutstand.testing.engine import serve_app
 
-app = App(name="service", help="Stand in for a plain service.")
+app = App(name="service", help="Simulate a plain service.")
 
 
 class ServiceSettings(msgspec.Struct, frozen=True):
-    """Describe one stand-in service worker.
+    """Hold the settings of one simulated service worker.
 
-    `checks_keys` makes it refuse a key that it ran before, as targets that
-    check orders do.
+    With `checks_keys` it rejects an idempotency key that it ran before.
     """
 
     name: str
@@ -28,14 +27,14 @@
     record_file: str
     run_s: float = 0.002
     checks_keys: bool = False
-    # Turns every call away and asks for so many seconds of rest; 0 turns none away.
+    # If not 0, rejects every call with this Retry-After, in seconds.
     rest_s: float = 0.0
-    # The limit that every answer names, in requests a second; empty is not told.
+    # Limit sent in every response, in requests per second; empty sends none.
     limit: str = ""
 
 
 class ServiceRecord(msgspec.Struct, frozen=True):
-    """Tell one call that the service ran; the tests' oracle."""
+    """Record one call that the service ran, for the tests to check against."""
 
     at_s: float
     service: str
@@ -45,7 +44,7 @@
 
 
 class ServiceAnswer(msgspec.Struct, frozen=True):
-    """Answer a call with what it was."""
+    """Echo a call in its response."""
 
     ran: str
     path: str
@@ -53,7 +52,7 @@
 
 
 class ServiceWorker:
-    """Run calls and record each before answering."""
+    """Run calls and record each one before responding."""
 
     def __init__(self, settings: ServiceSettings) -> None:
         self._settings = settings
@@ -61,13 +60,13 @@
         self._keys: set[str] = set()
 
     def make_app(self) -> web.Application:
-        """Make the worker's application."""
+        """Make the worker's HTTP application."""
         application = web.Application(client_max_size=2**28)
         application.router.add_route("*", "/{path:.*}", self.run_call)
         return application
 
     async def run_call(self, http: web.Request) -> web.Response:
-        """Run one call."""
+        """Record and run one call; answer 409 for a repeated key and 503 during backoff."""
         key = http.headers.get("Idempotency-Key", "")
         body = (await http.read()).decode(errors="replace")
         if self._settings.checks_keys and key in self._keys:
@@ -85,7 +84,7 @@
 
 @app.default
 def run(settings: Path) -> None:
-    """Run the stand-in that a settings file describes."""
+    """Run the service worker that a settings file describes."""
     loaded = msgspec.json.decode(settings.read_bytes(), type=ServiceSettings)
     asyncio.run(serve_app(ServiceWorker(loaded).make_app(), loaded.ip, loaded.port))
 
--- a/troutstand/testing/site.py
+++ b/troutstand/testing/site.py
@@ -1,4 +1,4 @@
-"""Lay out a small site on loopback and run its processes."""
+"""Configure a small site on loopback and run its processes."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 OPERATOR_TOKEN = "operator-token"
 LINK_KEY = "0123456789abcdef0123456789abcdef"
 
-# Guards against hangs; nothing is expected to take this long.
+# Timeout against hangs, longer than any expected wait.
 HANG_S = 30.0
 _POLL_S = 0.02
 MODEL = "advisor-small"
@@ -41,12 +41,12 @@
 
 
 def hash_token(token: str) -> str:
-    """Hash a token as the table keeps it."""
+    """Hash a token as the table stores it."""
     return hashlib.sha256(token.encode()).hexdigest()
 
 
 def wait_for(condition: Callable[[], T | None], what: str) -> T:
-    """Wait until a condition gives something; the time limit only guards against hangs."""
+    """Poll a condition until it returns a true value; raise AssertionError on a hang."""
     end_s = time.monotonic() + HANG_S
     while time.monotonic() < end_s:
         found = condition()
@@ -58,10 +58,10 @@
 
 @dataclass(frozen=True)
 class SitePlan:
-    """Say how large a site is.
+    """Describe the size and options of a site.
 
-    `entries` gives the entry hosts of each failure domain; `engine_speeds`
-    the prefill speed factor of each domain's engines.
+    `entries` and `keepers` count the processes of each failure domain;
+    `engine_speeds` holds the speed factors of the engines in every domain.
     """
 
     entries: tuple[int, ...] = (3,)
@@ -79,9 +79,9 @@
     drain_s: float = 20.0
     deadline_s: float = 30.0
     service_run_s: float = 0.002
-    # How long the first service worker asks callers, whom it all turns away, to rest.
+    # If not 0, the first service worker rejects all calls with this backoff.
     service_backoff_s: float = 0.0
-    # The limit that the first service worker names, in requests a second; empty is not told.
+    # Limit that the first service worker sends, in requests per second; empty sends none.
     service_limit: str = ""
     is_relayed: bool = False
     body_s: float = 30.0
@@ -89,7 +89,7 @@
 
 @dataclass
 class SiteProcess:
-    """Keep one started process."""
+    """Manage one process of a site."""
 
     name: str
     command: list[str]
@@ -97,35 +97,35 @@
     handle: subprocess.Popen[bytes] | None = None
 
     def start(self) -> None:
-        """Start it, its standard error going to a file."""
+        """Start the process, with its output in a file."""
         with (self.folder / f"{self.name}.err").open("ab") as errors:
             self.handle = subprocess.Popen(self.command, stdout=errors, stderr=errors)
 
     @property
     def has_ended(self) -> bool:
-        """Tell whether the process was started and is gone."""
+        """Return whether the process was started and has exited."""
         return self.handle is not None and self.handle.poll() is not None
 
     def send(self, number: signal.Signals) -> None:
-        """Send a signal to the process."""
+        """Send a signal to the process if it is running."""
         if self.handle and self.handle.poll() is None:
             os.kill(self.handle.pid, number)
 
     def kill(self) -> None:
-        """Kill it at once and collect it."""
+        """Kill the process and reap it."""
         if self.handle:
             self.handle.kill()
             self.handle.wait()
 
     def wait(self) -> int:
-        """Wait for its end and return the exit code."""
+        """Wait for the process to exit and return its exit code."""
         assert self.handle is not None
         return self.handle.wait(HANG_S)
 
 
 @dataclass
 class Site:
-    """Run a site's processes and stand-ins."""
+    """Run a site's processes, simulated engines and simulated services."""
 
     folder: Path
     plan: SitePlan = field(default_factory=SitePlan)
@@ -213,7 +213,7 @@
         self.processes[name] = SiteProcess(name, command, self.folder)
 
     def _relay_peers(self, name: str) -> list[Peer]:
-        """Give a process its peers' addresses, through relays where cuts are wanted."""
+        """Return the peers of a process, with relay addresses if the site is relayed."""
         if self.hub is None:
             return self.peers
         relayed: list[Peer] = []
@@ -227,7 +227,7 @@
         return relayed
 
     def cut_domain(self, domain: str) -> None:
-        """Cut a failure domain off from all others."""
+        """Partition a failure domain from all others."""
         assert self.hub is not None
         inside = {name for name, own in self.domains.items() if own == domain}
         outside = set(self.domains) - inside
@@ -235,7 +235,7 @@
         self.hub.cut({LinkDirection(b, a) for a in inside for b in outside})
 
     def cut_process(self, name: str) -> None:
-        """Cut a process off from all others."""
+        """Partition a process from all others."""
         assert self.hub is not None
         others = set(self.domains) - {name}
         self.hub.cut(
@@ -302,10 +302,8 @@
         command = [sys.executable, "-m", f"troutstand.testing.{module}", str(path)]
         self.processes[name] = SiteProcess(name, command, self.folder)
 
-    # Running
-
     def start(self) -> None:
-        """Start everything, form the keeper set and accept the first table."""
+        """Start all processes, form the keeper set and accept the first table."""
         for name in self.keepers:
             self.format_disk(name)
         for process in self.processes.values():
@@ -317,7 +315,7 @@
             self.wait_serving(name)
 
     def _form_keepers(self, operator: AdminClient) -> None:
-        """Form the keeper set; where that fails, tell what stood in its way."""
+        """Form the keeper set; on a timeout, report the reason and the failed processes."""
         reason = ""
 
         def is_formed() -> bool:
@@ -328,9 +326,9 @@
         try:
             wait_for(is_formed, "keeper set")
         except AssertionError as error:
-            silent = [name for name in self.keepers if operator.try_status(name) is None]
-            ended = [name for name, process in self.processes.items() if process.has_ended]
-            detail = f"{error}: {reason}; no status from {silent}, ended {ended}"
+            unreachable = [name for name in self.keepers if operator.try_status(name) is None]
+            exited = [name for name, process in self.processes.items() if process.has_ended]
+            detail = f"{error}: {reason}; no status from {unreachable}, exited: {exited}"
             raise AssertionError(detail) from error
 
     def format_disk(self, name: str) -> None:
@@ -339,7 +337,7 @@
         subprocess.run(command, check=True, stdout=subprocess.DEVNULL, timeout=HANG_S)
 
     def operator(self) -> AdminClient:
-        """Return an operator who can reach every process."""
+        """Return an admin client for all processes."""
         return AdminClient(self.admins, OPERATOR_TOKEN)
 
     def wait_serving(self, name: str) -> None:
@@ -352,7 +350,7 @@
         return wait_for(lambda: self.operator().find_scheduler(names), f"scheduler of {domain}")
 
     def stop(self) -> None:
-        """End every process that was started."""
+        """Kill all processes and stop the relays."""
         for process in self.processes.values():
             process.send(signal.SIGCONT)
             process.kill()
@@ -361,7 +359,7 @@
 
 
 def name_domain(index: int) -> str:
-    """Name a failure domain."""
+    """Return the name of a failure domain."""
     return ("north", "south", "west", "east")[index]
 
 
@@ -374,10 +372,10 @@
         Tier("draft", 3, 12.0, 2.0, deadline_s),
     ]
     names = ["coordinators", "counter", "nurseries", "nurses", "reminders"]
-    own_tiers = ["urgent", "urgent", "desk", "advice", "draft"]
+    tier_names = ["urgent", "urgent", "desk", "advice", "draft"]
     workspaces = [
         Workspace(name, hash_token(f"token-{name}"), tier)
-        for name, tier in zip(names, own_tiers, strict=True)
+        for name, tier in zip(names, tier_names, strict=True)
     ]
     services = [Service(SERVICE), Service(LOOKUP, unrepeatable=[])]
     return [*tiers, *workspaces, Model(MODEL), *services]
