--- a/troutstand/testing/standins.py
+++ b/troutstand/testing/standins.py
@@ -1,7 +1,6 @@
-"""Stand in for the targets and the target list of a routed site.
+"""Simulate the targets and the target list of a routed site.
 
-Targets keep a record of every run, from which promises are checked; faults
-are switched on from outside.
+Targets record every run for the checks of the tests; tests switch their faults on and off.
 """
 
 from __future__ import annotations
@@ -23,14 +22,14 @@
 from troutstand.testing.scriptedtarget import reset_connection
 
 _HEAD_END = b"\r\n\r\n"
-_ELSEWHERE = b"HTTP/1.1 421 Elsewhere\r\nContent-Length: 0\r\n\r\n"
-_QUEUE = 24
-# The event within which a stream breaks off, counted from where it began.
+_MISDIRECTED = b"HTTP/1.1 421 Elsewhere\r\nContent-Length: 0\r\n\r\n"
+_MAX_WAITING = 24
+# The event in which a stream is cut off, counted from the first event of the response.
 _CUT_EVENT = 2
 
 
 class Fault(Enum):
-    """Say how a target misbehaves."""
+    """Name how a target misbehaves."""
 
     NONE = "none"
     SLOW = "slow"
@@ -39,14 +38,14 @@
     RESET = "reset"
     MUTE = "mute"
     LOSE_ANSWERS = "lose answers"
-    # Half of the answers break off; half of the streams to go on with do, or fail whole.
+    # Cuts off half of the responses; half of the resumed streams that it would cut fail with 500.
     CUT_ANSWERS = "cut answers"
     SURPLUS = "surplus"
 
 
 @dataclass(frozen=True)
 class RunRecord:
-    """Tell of one run; times in seconds on the steady clock."""
+    """Record one run of a request; times in seconds on the steady clock."""
 
     request: str
     target: str
@@ -62,19 +61,19 @@
 
 @dataclass(frozen=True)
 class ResumedResponse:
-    """Say what a target answers to a request that goes on behind an event."""
+    """Define the response of a target to a request that resumes a stream."""
 
     status: str
     content_type: str
     body: bytes
 
 
-_FAILED = ResumedResponse("500 Fault", "text/plain", b"broken")
+_FAILED_RESUME = ResumedResponse("500 Fault", "text/plain", b"broken")
 
 
 @dataclass
 class Head:
-    """Hold a request's first line and headers."""
+    """Hold a request's method, path and headers."""
 
     method: str
     path: str
@@ -82,51 +81,50 @@
 
 
 def parse_head(data: bytes) -> Head:
-    """Parse a request's head; header names in lower case."""
+    """Parse a request's head, with header names in lower case."""
     first, *lines = data.decode("latin-1").split("\r\n")
     method, path, _ = first.split(" ", 2)
     pairs = (line.partition(":") for line in lines)
     return Head(method, path, {key.strip().lower(): value.strip() for key, _, value in pairs})
 
 
-# Writes the answer of a target, named first, and tells whether its connection is kept.
+# Writes the response of the named target; returns whether the connection stays open.
 ResponseWriter = Callable[[str, Head, asyncio.StreamWriter], Awaitable[bool]]
 
 
 @dataclass
 class StandInTarget:
-    """Serve requests of one service on loopback, a few at a time."""
+    """Serve requests of one service on loopback, at most `slots` at a time."""
 
     target: str
     service: str
     slots: int = 4
     work_s: float = 0.02
     events: int = 4
-    # Seconds between two events; a quarter of the work where it is not told.
+    # Seconds between two events; defaults to a quarter of `work_s`.
     event_s: float | None = None
     fault: Fault = Fault.NONE
-    # How long a caller whom it turns away should leave it alone; 0 is not told.
+    # Retry-After of a rejected request, in seconds; 0 sends none.
     backoff_s: float = 0.0
-    # Whether its answers say that it leaves, whatever the list of targets shows.
+    # Whether responses announce a shutdown, independent of the target list.
     is_leaving: bool = False
-    # The limit that its answers name, in requests a second; empty is not told.
+    # Limit sent in responses, in requests per second; empty sends none.
     limit: str = ""
-    # When its answers named a limit.
+    # One entry for each response that named a limit.
     limit_notices: list[LimitNotice] = field(default_factory=list)
-    # What its software does wrong by itself, whatever else is switched on and off.
+    # Fault of its software version, restored when an injected fault ends.
     permanent_fault: Fault = Fault.NONE
     resumed_response: ResumedResponse | None = None
     response_writer: ResponseWriter | None = None
-    # The body that ends the process as it runs it; it is back after so many seconds, under
-    # another name.
+    # A request with this body crashes the target, which restarts after the delay under a new name.
     crash_body: bytes = b""
-    back_s: float = 1.5
+    restart_delay_s: float = 1.5
     is_draining: bool = False
-    # How many drains of it are under way.
+    # Count of drains in progress.
     drains: int = 0
     version: str = ""
     address: str = ""
-    # When it says that it was born, in Unix milliseconds; 0 is not told.
+    # Reported start time in Unix milliseconds; 0 reports none.
     born_ms: int = 0
     runs: list[RunRecord] = field(default_factory=list)
     ended: dict[str, str] = field(default_factory=dict)
@@ -135,33 +133,33 @@
     idle_s: float = 30.0
     _server: asyncio.Server | None = None
     _writers: set[asyncio.StreamWriter] = field(default_factory=set)
-    _busy: asyncio.Semaphore = field(init=False)
-    _waiting: int = 0
+    _free_slots: asyncio.Semaphore = field(init=False)
+    _waiting_count: int = 0
     _random: random.Random = field(init=False)
-    # Apart, so that which answers break off does not hang on who goes on with them.
+    # Separate, so that resumed streams do not change which responses are cut off.
     _resumed_random: random.Random = field(init=False)
-    # When the deadly body came, run or not, and when the process ended under it.
+    # Times at which the crash body arrived, run or not, and at which it crashed the target.
     crash_body_received_s: list[float] = field(default_factory=list)
     crash_times_s: list[float] = field(default_factory=list)
     _restarts: set[asyncio.Task[None]] = field(default_factory=set)
 
     def __post_init__(self) -> None:
-        self._busy = asyncio.Semaphore(self.slots)
+        self._free_slots = asyncio.Semaphore(self.slots)
         self._random = random.Random(self.seed)
         self._resumed_random = random.Random(self.seed)
 
     async def start(self, ip: str = "127.0.0.1") -> None:
-        """Listen, at the address used before if there is one."""
+        """Listen, on the previous port if there is one."""
         port = int(self.address.rpartition(":")[2] or 0)
         self._server = await asyncio.start_server(self._serve, ip, port)
         host, port = self._server.sockets[0].getsockname()[:2]
         self.address = f"{host}:{port}"
 
     def count_running(self) -> int:
-        """Return how many requests it works on."""
+        """Return the number of running requests."""
         return sum(1 for run in self.runs if run.request not in self.ended)
 
-    async def _crash_for_a_while(self) -> None:
+    async def _crash_and_restart(self) -> None:
         self.crash_times_s.append(time.monotonic())
         await self.crash()
         restart = asyncio.create_task(self._restart())
@@ -169,12 +167,12 @@
         restart.add_done_callback(self._restarts.discard)
 
     async def _restart(self) -> None:
-        await asyncio.sleep(self.back_s)
+        await asyncio.sleep(self.restart_delay_s)
         self.target = f"{self.target.partition('@')[0]}@{len(self.crash_times_s)}"
         await self.start()
 
     async def close(self) -> None:
-        """End for good."""
+        """Stop the target and cancel pending restarts."""
         for restart in list(self._restarts):
             restart.cancel()
         await self.crash()
@@ -208,18 +206,18 @@
         if self.crash_body and body == self.crash_body:
             self.crash_body_received_s.append(time.monotonic())
         if head.headers.get("x-expected-target", self.target) != self.target:
-            writer.write(_ELSEWHERE)
+            writer.write(_MISDIRECTED)
             return True
-        if self.fault is Fault.SHED or self._waiting >= _QUEUE:
-            self._turn_away(head, writer)
+        if self.fault is Fault.SHED or self._waiting_count >= _MAX_WAITING:
+            self._reject(head, writer)
             return True
-        self._note_arrival(head, backoff_s=0.0)
+        self._record_arrival(head, backoff_s=0.0)
         if self.fault is Fault.MUTE:
             await reader.read()
             return False
         return await self._work(head, body, reader, writer)
 
-    def _note_arrival(self, head: Head, backoff_s: float) -> None:
+    def _record_arrival(self, head: Head, backoff_s: float) -> None:
         request = head.headers.get("x-request-id", "")
         now_s = time.monotonic()
         arrival = Arrival(
@@ -227,15 +225,17 @@
         )
         self.arrivals.append(arrival)
 
-    def _turn_away(self, head: Head, writer: asyncio.StreamWriter) -> None:
-        self._note_arrival(head, self.backoff_s)
-        rest = f"Retry-After: {self.backoff_s:g}\r\n" if self.backoff_s else ""
-        own = self._tell_own(head.headers.get("x-request-id", ""))
-        lines = f"HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\n{rest}{own}Content-Length: 0\r\n\r\n"
+    def _reject(self, head: Head, writer: asyncio.StreamWriter) -> None:
+        self._record_arrival(head, self.backoff_s)
+        retry_after = f"Retry-After: {self.backoff_s:g}\r\n" if self.backoff_s else ""
+        notices = self._make_notice_headers(head.headers.get("x-request-id", ""))
+        lines = (
+            f"HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\n{retry_after}{notices}Content-Length: 0\r\n\r\n"
+        )
         writer.write(lines.encode())
 
-    def _tell_own(self, request: str) -> str:
-        """Return the headers in which it speaks of itself, in the answer to a request."""
+    def _make_notice_headers(self, request: str) -> str:
+        """Return the headers that announce a shutdown and the limit, and record the limit."""
         leaving = "X-Target-Leaving: 1\r\n" if self.is_leaving else ""
         if not self.limit:
             return leaving
@@ -245,35 +245,39 @@
     async def _work(
         self, head: Head, body: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> bool:
-        self._waiting += 1
-        leaving = asyncio.ensure_future(reader.read(1))
+        self._waiting_count += 1
+        disconnect = asyncio.ensure_future(reader.read(1))
         try:
-            taking = asyncio.ensure_future(self._busy.acquire())
-            await asyncio.wait([taking, leaving], return_when=asyncio.FIRST_COMPLETED)
-            if not taking.done():
-                taking.cancel()
+            acquiring = asyncio.ensure_future(self._free_slots.acquire())
+            await asyncio.wait([acquiring, disconnect], return_when=asyncio.FIRST_COMPLETED)
+            if not acquiring.done():
+                acquiring.cancel()
                 return False
         finally:
-            self._waiting -= 1
+            self._waiting_count -= 1
         try:
-            return await self._run(head, body, writer, leaving)
+            return await self._run(head, body, writer, disconnect)
         finally:
-            self._busy.release()
-            await _stop_watching(leaving)
+            self._free_slots.release()
+            await _cancel_watch(disconnect)
 
     async def _run(
-        self, head: Head, body: bytes, writer: asyncio.StreamWriter, leaving: asyncio.Future[bytes]
+        self,
+        head: Head,
+        body: bytes,
+        writer: asyncio.StreamWriter,
+        disconnect: asyncio.Future[bytes],
     ) -> bool:
         request = head.headers.get("x-request-id", "")
-        self._note_run(head, body)
+        self._record_run(head, body)
         work_s = self.work_s * (10.0 if self.fault is Fault.SLOW else 1.0)
-        done, _ = await asyncio.wait([leaving], timeout=work_s)
+        done, _ = await asyncio.wait([disconnect], timeout=work_s)
         if done:
             self.ended[request] = "left"
             return False
-        await _stop_watching(leaving)
+        await _cancel_watch(disconnect)
         if self.crash_body and body == self.crash_body:
-            await self._crash_for_a_while()
+            await self._crash_and_restart()
             return False
         if self.fault is Fault.RESET and self._random.random() < 0.5:
             reset_connection(writer)
@@ -284,7 +288,7 @@
             return False
         return await self._answer(head, body, writer)
 
-    def _note_run(self, head: Head, body: bytes) -> None:
+    def _record_run(self, head: Head, body: bytes) -> None:
         prompt, _, output = head.headers.get("x-tokens", "0").partition(",")
         self.runs.append(
             RunRecord(
@@ -307,20 +311,20 @@
         request = head.headers.get("x-request-id", "")
         is_resumed = "last-event-id" in head.headers
         if self.resumed_response is not None and is_resumed:
-            return await self._answer_continued(request, self.resumed_response, writer)
+            return await self._answer_resumed(request, self.resumed_response, writer)
         is_cut_once = self.resumed_response is not None
-        cuts = is_cut_once or (self.fault is Fault.CUT_ANSWERS and self._random.random() < 0.5)
-        if cuts and is_resumed and self._resumed_random.random() < 0.5:
-            return await self._answer_continued(request, _FAILED, writer)
+        is_cut = is_cut_once or (self.fault is Fault.CUT_ANSWERS and self._random.random() < 0.5)
+        if is_cut and is_resumed and self._resumed_random.random() < 0.5:
+            return await self._answer_resumed(request, _FAILED_RESUME, writer)
         fails = self.fault is Fault.ERRORS and self._random.random() < 0.5
         status = "500 Fault" if fails else "200 OK"
         common = f"HTTP/1.1 {status}\r\nX-Request-Id: {request}\r\nX-Answer-Seal: {self.target}\r\n"
-        common += self._tell_own(request)
+        common += self._make_notice_headers(request)
         if "stream" in head.path and not fails:
-            return await self._stream(head, common, writer, cuts)
+            return await self._stream(head, common, writer, is_cut)
         answer = make_body(request, body)
         writer.write(f"{common}Content-Length: {len(answer)}\r\n\r\n".encode())
-        if cuts:
+        if is_cut:
             writer.write(answer[: len(answer) // 2])
             await writer.drain()
             return False
@@ -331,7 +335,7 @@
         self.ended[request] = "whole"
         return True
 
-    async def _answer_continued(
+    async def _answer_resumed(
         self, request: str, answer: ResumedResponse, writer: asyncio.StreamWriter
     ) -> bool:
         lines = [
@@ -341,14 +345,14 @@
             f"Content-Type: {answer.content_type}",
             f"Content-Length: {len(answer.body)}",
         ]
-        head = "\r\n".join([*lines, self._tell_own(request)])
+        head = "\r\n".join([*lines, self._make_notice_headers(request)])
         writer.write(f"{head}\r\n".encode() + answer.body)
         await writer.drain()
         self.ended[request] = "whole"
         return True
 
     async def _stream(
-        self, head: Head, common: str, writer: asyncio.StreamWriter, cuts: bool
+        self, head: Head, common: str, writer: asyncio.StreamWriter, is_cut: bool
     ) -> bool:
         request = head.headers.get("x-request-id", "")
         after = int(head.headers.get("last-event-id") or 0)
@@ -356,7 +360,7 @@
         writer.write((common + kind).encode())
         for number in range(after + 1, self.events + 1):
             event = make_event(request, number)
-            if cuts and number == after + _CUT_EVENT:
+            if is_cut and number == after + _CUT_EVENT:
                 writer.write(f"{len(event):x}\r\n".encode() + event[:5])
                 await writer.drain()
                 return False
@@ -369,14 +373,14 @@
         return True
 
 
-async def _stop_watching(leaving: asyncio.Future[bytes]) -> None:
-    """End the watch for the caller's leaving, so that the next request can be read."""
-    leaving.cancel()
-    await asyncio.wait([leaving])
+async def _cancel_watch(disconnect: asyncio.Future[bytes]) -> None:
+    """Stop waiting for the caller's disconnect, so that the next request can be read."""
+    disconnect.cancel()
+    await asyncio.wait([disconnect])
 
 
 def make_body(request: str, body: bytes) -> bytes:
-    """Return the answer that a request with a body should get."""
+    """Return the expected response body of a request."""
     return f"answer to {request} with {len(body)} bytes".encode()
 
 
@@ -386,14 +390,14 @@
 
 
 class StandInList:
-    """Serve the list of targets, late and to a bounded number of readers."""
+    """Serve the list of targets, delayed by `lag_s`."""
 
     def __init__(self, targets: list[StandInTarget], lag_s: float = 0.0) -> None:
         self.targets = targets
         self.address = ""
         self.reads = 0
         self.is_down = False
-        # Written as they are between the sound entries.
+        # Raw JSON entries, written before the valid entries.
         self.invalid_entries: list[bytes] = []
         self._lag_s = lag_s
         self._history: deque[tuple[float, bytes]] = deque()
@@ -412,11 +416,11 @@
         self.address = f"{host}:{port}"
 
     async def stop(self) -> None:
-        """Close the address."""
+        """Stop the server."""
         if self._runner:
             await self._runner.cleanup()
 
-    def _describe(self) -> bytes:
+    def _encode_list(self) -> bytes:
         entries = [
             {
                 "target": target.target,
@@ -430,15 +434,15 @@
             }
             for target in self.targets
         ]
-        sound = [json.dumps(entry).encode() for entry in entries]
-        return b'{"targets":[' + b",".join([*self.invalid_entries, *sound]) + b'],"next":null}'
+        valid = [json.dumps(entry).encode() for entry in entries]
+        return b'{"targets":[' + b",".join([*self.invalid_entries, *valid]) + b'],"next":null}'
 
     async def _answer(self, request: web.Request) -> web.Response:
         self.reads += 1
         if self.is_down:
             return web.Response(status=503)
         now_s = time.monotonic()
-        self._history.append((now_s, self._describe()))
+        self._history.append((now_s, self._encode_list()))
         while len(self._history) > 1 and self._history[1][0] <= now_s - self._lag_s:
             self._history.popleft()
         return web.Response(body=self._history[0][1], content_type="application/json")
--- a/troutstand/testing/virtualload.py
+++ b/troutstand/testing/virtualload.py
@@ -1,4 +1,4 @@
-"""Play drawn callers on one dispatcher and targets of fixed speed, on a virtual clock."""
+"""Simulate callers against one dispatcher and targets of fixed speed, on a virtual clock."""
 
 from __future__ import annotations
 
@@ -40,11 +40,11 @@
     Parameters
     ----------
     slot_time_s
-        How long the request keeps its slot.
+        How long the request occupies its slot.
     max_retries
-        How often the caller comes back after a refusal.
+        How often the caller retries after a refusal.
     honors_retry_after
-        Whether it comes back when it was told to, or at once.
+        Whether retries wait for `retry_after_s` or are sent at once.
     """
 
     at_s: float
@@ -60,7 +60,7 @@
 
 @dataclass
 class JobOutcome:
-    """Hold what came of a request; times in seconds from its caller's first try."""
+    """Hold the outcome of a request; times in seconds from its caller's first attempt."""
 
     job: Job
     first_s: float | None = None
@@ -69,12 +69,12 @@
 
     @property
     def is_in_time(self) -> bool:
-        """Tell whether the first byte came within the objective."""
+        """Return whether the first byte met the objective."""
         return self.first_s is not None and self.first_s <= self.job.objective_s
 
 
 class VirtualLoad:
-    """Play jobs against targets that each work on some requests at once."""
+    """Simulate jobs against targets that each run `slots` requests at a time."""
 
     def __init__(
         self,
@@ -93,32 +93,32 @@
         ]
         self.dispatcher.update_targets(listed, 0.0)
         self.outcomes: list[JobOutcome] = []
-        self._asked: dict[str, JobOutcome] = {}
+        self._pending: dict[str, JobOutcome] = {}
         self._events: list[tuple[float, int, Callable[[float], None]]] = []
         self._numbers = itertools.count()
 
     def play(self, jobs: list[Job]) -> list[JobOutcome]:
-        """Play all jobs and return what came of each, in their order."""
+        """Simulate all jobs and return their outcomes in order."""
         for job in jobs:
             outcome = JobOutcome(job)
             self.outcomes.append(outcome)
-            self._at(job.at_s, lambda now_s, o=outcome: self._come(o, now_s))
+            self._schedule(job.at_s, lambda now_s, o=outcome: self._submit(o, now_s))
         end_s = max(job.at_s + job.deadline_s for job in jobs)
         for step in range(1, int(end_s / _TICK_S)):
-            self._at(step * _TICK_S, self.dispatcher.tick)
+            self._schedule(step * _TICK_S, self.dispatcher.tick)
         while self._events:
-            now_s, _, act = heapq.heappop(self._events)
-            act(now_s)
-            self._collect(now_s)
+            now_s, _, action = heapq.heappop(self._events)
+            action(now_s)
+            self._apply_decisions(now_s)
         return self.outcomes
 
-    def _at(self, at_s: float, act: Callable[[float], None]) -> None:
-        heapq.heappush(self._events, (at_s, next(self._numbers), act))
+    def _schedule(self, at_s: float, action: Callable[[float], None]) -> None:
+        heapq.heappush(self._events, (at_s, next(self._numbers), action))
 
-    def _come(self, outcome: JobOutcome, now_s: float) -> None:
+    def _submit(self, outcome: JobOutcome, now_s: float) -> None:
         job = outcome.job
         request = f"r{next(self._numbers)}"
-        self._asked[request] = outcome
+        self._pending[request] = outcome
         work = RoutedWork(
             request=request,
             service=_SERVICE,
@@ -130,10 +130,10 @@
         )
         self.dispatcher.place(work, "gateway", now_s)
 
-    def _collect(self, now_s: float) -> None:
+    def _apply_decisions(self, now_s: float) -> None:
         for decision in self.dispatcher.drain_decisions():
             answer = decision.answer
-            outcome = self._asked.pop(answer.request)
+            outcome = self._pending.pop(answer.request)
             match answer:
                 case Placed():
                     self._run(answer, outcome, now_s)
@@ -146,8 +146,8 @@
         outcome.first_s = now_s + first_s - job.at_s
         first = FirstByte(placed.request, placed.target, first_s)
         ended = Ended(placed.request, placed.target, Ending.whole, first_s, job.slot_time_s)
-        self._at(now_s + first_s, lambda at_s: self.dispatcher.record_first_byte(first, at_s))
-        self._at(now_s + job.slot_time_s, lambda at_s: self.dispatcher.finish(ended, at_s))
+        self._schedule(now_s + first_s, lambda at_s: self.dispatcher.record_first_byte(first, at_s))
+        self._schedule(now_s + job.slot_time_s, lambda at_s: self.dispatcher.finish(ended, at_s))
 
     def _decline(self, declined: Declined, outcome: JobOutcome, now_s: float) -> None:
         outcome.refusals.append(declined)
@@ -155,15 +155,17 @@
         job = outcome.job
         if len(outcome.refusals) <= job.max_retries:
             pause_s = declined.retry_after_s if job.honors_retry_after else 0.0
-            self._at(now_s + pause_s, lambda at_s: self._come(outcome, at_s))
+            self._schedule(now_s + pause_s, lambda at_s: self._submit(outcome, at_s))
 
 
-def spread_jobs(draft: Job, per_s: float, until_s: float) -> list[Job]:
-    """Return jobs like one, evenly spaced from its time on."""
-    count = int((until_s - draft.at_s) * per_s)
-    return [Job(**{**vars(draft), "at_s": draft.at_s + number / per_s}) for number in range(count)]
+def spread_jobs(template: Job, per_s: float, until_s: float) -> list[Job]:
+    """Return copies of a job, evenly spaced from its time until `until_s`."""
+    count = int((until_s - template.at_s) * per_s)
+    return [
+        Job(**{**vars(template), "at_s": template.at_s + number / per_s}) for number in range(count)
+    ]
 
 
 def compute_in_time_share(outcomes: list[JobOutcome]) -> float:
-    """Return the share of requests whose first byte came in time, 0 to 1."""
+    """Return the share of requests whose first byte met the objective, from 0 to 1."""
     return sum(outcome.is_in_time for outcome in outcomes) / max(1, len(outcomes))
--- a/troutstand/testing/worstload.py
+++ b/troutstand/testing/worstload.py
@@ -1,10 +1,7 @@
-"""Replay a recorded load on the dispatcher, on a virtual clock with unlike engines.
+"""Replay a load on the dispatcher, on a virtual clock with engines of different speeds.
 
-The arrivals' times and tiers were recorded at 73 gateways while three bursts came and a
-quarter of the engines was dark; their sizes are drawn from the sheet of that work with a
-fixed seed, since gateways do not log them. Callers that came back are among the recorded
-ones. Where a load is drawn instead, those that are refused come back once, as told, but
-within a third of the time that they have left.
+Recorded arrivals carry times and tiers; their sizes are sampled with a fixed seed. With
+`retries_refused`, a refused caller retries once, after at most a third of its remaining time.
 """
 
 from __future__ import annotations
@@ -41,19 +38,19 @@
 _SERVICE = "advice"
 _TICK_S = 0.05
 _SLOTS = 4
-_STRIDE = 6
+_TOKENS_PER_EVENT = 6
 _TOKEN_S = 3.09e-3
-_READ_PER_S = 61.8e3
-# A third of the engines is 4.4 times slower than the others.
-_SPEEDS = (0.68, 0.68, 3.0)
-_DARK_SHARE = 0.25
-_RETRY_SHARE = 1.0 / 3.0
+_PREFILL_TOKENS_PER_S = 61.8e3
+# Relative times per token; a third of the engines is slow.
+_TIME_FACTORS = (0.68, 0.68, 3.0)
+_UNAVAILABLE_SHARE = 0.25
+_MAX_RETRY_DELAY_SHARE = 1.0 / 3.0
 _RETRY_BUDGET = (0.2, 186.0, 10.0)
 
 
 @dataclass(frozen=True)
-class Kind:
-    """Describe the requests of one route tier; sizes in tokens, times in seconds."""
+class RequestProfile:
+    """Describe the requests of one route tier; mean sizes in tokens, times in seconds."""
 
     prompt: float
     output: float
@@ -61,16 +58,16 @@
     deadline_s: float
 
 
-KINDS = {
-    0: Kind(3720, 120, 0.663, 8.8),
-    1: Kind(2890, 54, 0.545, 5.4),
-    2: Kind(1110, 174, 0.426, 10.6),
+PROFILES = {
+    0: RequestProfile(3720, 120, 0.663, 8.8),
+    1: RequestProfile(2890, 54, 0.545, 5.4),
+    2: RequestProfile(1110, 174, 0.426, 10.6),
 }
 
 
 @dataclass(frozen=True)
 class Arrival:
-    """Tell when a caller came, and with which tiers."""
+    """Describe when a request arrived, and with which tiers."""
 
     at_s: float
     route_tier: int
@@ -78,7 +75,7 @@
 
 
 def read_arrivals(path: Path) -> list[Arrival]:
-    """Read recorded arrivals: milliseconds, route tier, workspace tier."""
+    """Read recorded arrivals from CSV rows: milliseconds, route tier, workspace tier."""
     with path.open(newline="") as file:
         rows = list(csv.reader(file))
     return [Arrival(int(at) / 1000.0, int(route), int(own)) for at, route, own in rows]
@@ -86,17 +83,17 @@
 
 @dataclass(frozen=True)
 class Caller:
-    """Hold one caller's request and the times that count for it."""
+    """Hold one caller's request: its arrival, its sizes in tokens and its attempts so far."""
 
     arrival: Arrival
     prompt: int
     output: int
-    tries: int = 0
+    attempts: int = 0
 
 
 @dataclass
 class Result:
-    """Count what came of the callers, by route tier."""
+    """Count the outcomes of the callers by route tier."""
 
     asked: Counter[int] = field(default_factory=Counter)
     in_time: Counter[int] = field(default_factory=Counter)
@@ -105,70 +102,72 @@
     refused_again: Counter[int] = field(default_factory=Counter)
 
     def share(self, route_tier: int) -> float:
-        """Return the share of a tier's callers that were served in time."""
+        """Return the share of a tier's callers whose first byte met the objective."""
         return self.in_time[route_tier] / max(1, self.asked[route_tier])
 
 
 class Replay:
-    """Play arrivals against engines that read prompts and write tokens at fixed speeds."""
+    """Simulate arrivals against engines with fixed prefill and decode speeds."""
 
     def __init__(
         self, order: TierOrder, engines: int, seed: int = 1, retries_refused: bool = False
     ) -> None:
         self.result = Result()
         self._order = order
-        self._comes_back = retries_refused
+        self._retries_refused = retries_refused
         self._random = random.Random(seed)
         self._dispatcher = Dispatcher(Quotas(QuotaBounds()), RetryBudget(*_RETRY_BUDGET))
-        self._speeds = {f"t{n}": _SPEEDS[n % len(_SPEEDS)] for n in range(engines)}
-        live = int(engines * (1.0 - _DARK_SHARE))
+        self._time_factors = {
+            f"t{n}": _TIME_FACTORS[n % len(_TIME_FACTORS)] for n in range(engines)
+        }
+        ready_count = int(engines * (1.0 - _UNAVAILABLE_SHARE))
         listed = [
             ListedTarget(name, _SERVICE, f"127.0.0.1:{n}", "north", _SLOTS, ListedState.ready)
-            for n, name in enumerate(list(self._speeds)[:live])
+            for n, name in enumerate(list(self._time_factors)[:ready_count])
         ]
         self._dispatcher.update_targets(listed, 0.0)
-        self._dispatcher.pools[_SERVICE].tokens_per_event = _STRIDE
+        self._dispatcher.pools[_SERVICE].tokens_per_event = _TOKENS_PER_EVENT
         self._events: list[tuple[float, int, Callable[[float], None]]] = []
         self._counter = itertools.count()
         self._callers: dict[str, Caller] = {}
 
     def play(self, arrivals: list[Arrival]) -> Result:
-        """Play all arrivals and return what came of them."""
+        """Simulate all arrivals and count their outcomes."""
         for arrival in arrivals:
-            kind = KINDS[arrival.route_tier]
+            profile = PROFILES[arrival.route_tier]
             caller = Caller(
-                arrival, self._draw(kind.prompt, 0.7), max(1, self._draw(kind.output, 1.0))
+                arrival, self._draw(profile.prompt, 0.7), max(1, self._draw(profile.output, 1.0))
             )
             self.result.asked[arrival.route_tier] += 1
-            self._at(arrival.at_s, lambda now_s, c=caller: self._come(c, now_s))
-        end_s = arrivals[-1].at_s + max(kind.deadline_s for kind in KINDS.values())
+            self._schedule(arrival.at_s, lambda now_s, c=caller: self._submit(c, now_s))
+        end_s = arrivals[-1].at_s + max(profile.deadline_s for profile in PROFILES.values())
         for step in range(int(end_s / _TICK_S)):
-            self._at(step * _TICK_S, self._tick)
+            self._schedule(step * _TICK_S, self._tick)
         while self._events:
-            now_s, _, act = heapq.heappop(self._events)
-            act(now_s)
-            self._collect(now_s)
+            now_s, _, action = heapq.heappop(self._events)
+            action(now_s)
+            self._apply_decisions(now_s)
         return self.result
 
     def _draw(self, mean: float, spread: float) -> int:
         return int(mean * self._random.lognormvariate(-spread * spread / 2.0, spread))
 
-    def _at(self, at_s: float, act: Callable[[float], None]) -> None:
-        heapq.heappush(self._events, (at_s, next(self._counter), act))
+    def _schedule(self, at_s: float, action: Callable[[float], None]) -> None:
+        heapq.heappush(self._events, (at_s, next(self._counter), action))
 
     def _tick(self, now_s: float) -> None:
         self._dispatcher.tick(now_s)
 
-    def _come(self, caller: Caller, now_s: float) -> None:
-        arrival, kind = caller.arrival, KINDS[caller.arrival.route_tier]
+    def _submit(self, caller: Caller, now_s: float) -> None:
+        arrival, profile = caller.arrival, PROFILES[caller.arrival.route_tier]
         request = f"r{next(self._counter)}"
         self._callers[request] = caller
         tiers = rank_tiers(arrival.workspace_tier, arrival.route_tier, self._order)
         work = RoutedWork(
             request=request,
             service=_SERVICE,
-            objective_s=kind.objective_s,
-            remaining_s=arrival.at_s + kind.deadline_s - now_s,
+            objective_s=profile.objective_s,
+            remaining_s=arrival.at_s + profile.deadline_s - now_s,
             tier=tiers.placement,
             shed_tier=tiers.shed,
             pause_s=0.25,
@@ -177,7 +176,7 @@
         )
         self._dispatcher.place(work, "gateway", now_s)
 
-    def _collect(self, now_s: float) -> None:
+    def _apply_decisions(self, now_s: float) -> None:
         for decision in self._dispatcher.drain_decisions():
             answer = decision.answer
             match answer:
@@ -188,9 +187,9 @@
 
     def _run(self, placed: Placed, now_s: float) -> None:
         caller = self._callers[placed.request]
-        speed = self._speeds[placed.target]
-        first_s = speed * placed.to_read / _READ_PER_S + 0.01
-        total_s = first_s + speed * _TOKEN_S * caller.output
+        time_factor = self._time_factors[placed.target]
+        first_s = time_factor * placed.to_read / _PREFILL_TOKENS_PER_S + 0.01
+        total_s = first_s + time_factor * _TOKEN_S * caller.output
         first = FirstByte(placed.request, placed.target, first_s)
         ended = Ended(
             placed.request,
@@ -199,23 +198,25 @@
             first_s,
             total_s,
             0.0,
-            max(1, caller.output // _STRIDE),
+            max(1, caller.output // _TOKENS_PER_EVENT),
         )
-        self._at(now_s + first_s, lambda at_s: self._dispatcher.record_first_byte(first, at_s))
-        self._at(now_s + total_s, lambda at_s: self._dispatcher.finish(ended, at_s))
+        self._schedule(
+            now_s + first_s, lambda at_s: self._dispatcher.record_first_byte(first, at_s)
+        )
+        self._schedule(now_s + total_s, lambda at_s: self._dispatcher.finish(ended, at_s))
         tier = caller.arrival.route_tier
-        is_in_time = now_s + first_s - caller.arrival.at_s <= KINDS[tier].objective_s
+        is_in_time = now_s + first_s - caller.arrival.at_s <= PROFILES[tier].objective_s
         counts = self.result.in_time if is_in_time else self.result.late
         counts[tier] += 1
 
     def _decline(self, declined: Declined, now_s: float) -> None:
         caller = self._callers[declined.request]
         tier = caller.arrival.route_tier
-        if caller.tries or not self._comes_back:
-            counts = self.result.refused_again if caller.tries else self.result.refused
+        if caller.attempts or not self._retries_refused:
+            counts = self.result.refused_again if caller.attempts else self.result.refused
             counts[tier] += 1
             return
-        left_s = caller.arrival.at_s + KINDS[tier].deadline_s - now_s
-        pause_s = min(declined.retry_after_s, _RETRY_SHARE * left_s)
-        again = Caller(caller.arrival, caller.prompt, caller.output, 1)
-        self._at(now_s + pause_s, lambda at_s: self._come(again, at_s))
+        left_s = caller.arrival.at_s + PROFILES[tier].deadline_s - now_s
+        pause_s = min(declined.retry_after_s, _MAX_RETRY_DELAY_SHARE * left_s)
+        retry = Caller(caller.arrival, caller.prompt, caller.output, 1)
+        self._schedule(now_s + pause_s, lambda at_s: self._submit(retry, at_s))
