--- a/troutstand/tests/crashes.feature
+++ b/troutstand/tests/crashes.feature
@@ -75,27 +75,27 @@
 
   Scenario: A request is retried once after its quarantine, then refused for twice as long
     When 3 targets end in turn under the body p
-    And 601 s pass for a decider
+    And 601 s pass for a scheduler
     And 1 targets end in turn under the body p
     Then a request with the body p is refused with 3012 and told to come back in 1200 s
 
   Scenario: A suspicion without a further crash expires
     When 2 targets end in turn under the body p
-    And 601 s pass for a decider
+    And 601 s pass for a scheduler
     And 2 targets end in turn under the body p
     Then a request with the body p has a target
 
   Scenario: A scheduler that takes over inherits suspicions and quarantines
     When 2 targets end in turn under the body q
     And 3 targets end in turn under the body p
-    And another decider takes over what gateways were told
+    And another scheduler takes over what gateways stored
     Then a request with the body p is refused with 3012 and told to come back in 600 s
     When 1 targets end in turn under the body q
     Then a request with the body q is refused with 3012 and told to come back in 600 s
 
   Scenario: Crashes seen by two schedulers add up, and those seen by both count once
     When 2 targets end in turn under the body p
-    And another decider takes over what gateways were told twice
+    And another scheduler takes over what gateways stored twice
     Then a request with the body p has a target
     When 1 targets end in turn under the body p
     Then a request with the body p is refused with 3012 and told to come back in 600 s
@@ -109,4 +109,4 @@
 
   Scenario: The number of tracked requests is bounded
     When a target ends under each of 3000 bodies
-    Then at most 2000 bodies are kept, and at most 64 are told to others
+    Then at most 2000 bodies are kept, and at most 64 are reported to others
--- a/troutstand/tests/dispatch.feature
+++ b/troutstand/tests/dispatch.feature
@@ -82,10 +82,10 @@
 
   Scenario: A scheduler that takes over uses the measurements of its predecessor
     Given a service with 1 targets of 2 slots
-    And the scheduler before had learnt that a request holds its slot for 0.4 s
+    And the previous scheduler had measured that a request holds its slot for 0.4 s
     When 40 requests with an objective of 1 s arrive at once
     Then those that can't be in time are refused on arrival
-    And a hold learnt here is not replaced by one passed on
+    And a slot time measured here is not replaced by a reported one
 
   Scenario: Among equal targets a gateway gets one that it has a connection to
     Given a service with 4 targets of 2 slots
--- a/troutstand/tests/limits.feature
+++ b/troutstand/tests/limits.feature
@@ -29,7 +29,7 @@
 
   Scenario: Requests over the limit but within the excess allowance are marked as excess
     Given a limit of 1000 tokens a second and a burst of 500, judged over 8 s with 10 in 100 and 2000 excess
-    Then of 40 requests at once some are owed, then some spare, then the rest refused
+    Then of 40 requests at once some are within it, then some excess, the rest refused
 
   Scenario: A workspace that asks for too much gets what its windows allow
     Given a limit of 400 tokens a second and a burst of 1500, judged over 8 s with 10 in 100 and 1900 excess
@@ -45,14 +45,14 @@
 
   Scenario: A late refund is not counted twice
     Given a limit of 400 tokens a second and a burst of 1500, judged over 8 s with 10 in 100 and 1900 excess
-    When a workspace takes all it can at once, gives it back after 3 s, and asks for four times as much for 20 s
+    When a workspace takes all it can at once, refunds it after 3 s, and asks for four times as much for 20 s
     Then no window of 8 s holds more than 7070 tokens
 
   # Guards against a sum over the sliding windows that grows with the requests and blocks the
   # scheduler's event loop.
   Scenario: The cost of summing windows does not grow with the requests
     Given a limit of 400000 tokens a second and a burst of 65000, judged over 8 s with 10 in 100 and 190000 excess
-    When 20000 requests come within 7 s, and half of them give back what they took
+    When 20000 requests come within 7 s, and half of them refund what they took
     Then the window holds at most 450 amounts
-    And it holds what was taken and not given back, to the token
+    And it holds what was taken and not refunded, to the token
     And nothing leaves it sooner than 8.5 s after it was taken
--- a/troutstand/tests/limitshandover.feature
+++ b/troutstand/tests/limitshandover.feature
@@ -4,7 +4,7 @@
   # scheduler that has just started, which exhausts the limits.
   Scenario Outline: A new scheduler counts the usage of <count> gateways once
     Given <count> gateways that took 0.5 of a workspace's limit together
-    When all of them attach to a scheduler that has just begun
+    When all of them attach to a scheduler that has just started
     Then it counts 0.5 of the limit as taken
     And it told the first of them that there are <count> gateways
 
@@ -21,19 +21,19 @@
 
   Scenario: The usage of a gateway that reconnects counts once
     Given 16 gateways that took 0.5 of a workspace's limit together
-    When all of them attach to a scheduler that has just begun
-    And half of them fall silent, decide alone and come back
+    When all of them attach to a scheduler that has just started
+    And half of them disconnect, decide locally and attach again
     Then it counts 0.5 of the limit as taken
 
   # Usage reported before the gateway restarted may still be inside the window.
   Scenario: Usage through a restarted gateway still counts
     Given 16 gateways that took 0.5 of a workspace's limit together
-    When all of them attach to a scheduler that has just begun
-    And half of them start again and attach
+    When all of them attach to a scheduler that has just started
+    And half of them restart and attach
     Then it counts 0.5 of the limit as taken
 
   Scenario: A long-running scheduler counts only the gateways that remain
     Given 16 gateways that took 0.5 of a workspace's limit together
-    When all of them attach to a scheduler that has just begun
+    When all of them attach to a scheduler that has just started
     And 40 s later 4 of them are left
     Then it tells that there are 4 gateways
--- a/troutstand/tests/pacing.feature
+++ b/troutstand/tests/pacing.feature
@@ -88,7 +88,7 @@
 
   Scenario: An ejected target is probed within its rate limit
     When t1 names a limit of 0.5 a second to gateway-1
-    And t1 loses each of its answers for 12 s while all others are held off
+    And t1 loses each of its answers for 12 s while all others are ejected
     Then t1 got 3 to 6 requests, and at most 3 within 4 s
 
   Scenario: If all targets name a rate limit, late requests are refused on arrival with a Retry-After
--- a/troutstand/tests/reach.feature
+++ b/troutstand/tests/reach.feature
@@ -4,7 +4,7 @@
     Given 4 targets in each of the failure domains north and south
     When two targets in south cannot be reached from north
     Then requests from north go to targets in north only
-    And the way from north to south is reported as lost
+    And the link from north to south is reported as lost
     And requests from south still go to targets in south
 
   Scenario: One failing target does not eject its failure domain
@@ -40,17 +40,17 @@
     Then one request from north goes to south, others do not
     When that request is answered
     Then the requests that wait go to south
-    And the way from north to south is reported as regained
+    And the link from north to south is reported as regained
 
   Scenario: A failure domain that is itself cut off does not probe the others one by one
     Given 1 targets in each of the failure domains north, south, east and west
     When the targets in south and east cannot be reached from north
     Then requests from north go to targets in north only
-    And the way from north to * is reported as lost
+    And the link from north to * is reported as lost
 
   Scenario: Ejected targets are not probed over a failed link
     Given 1 targets in each of the failure domains north, south, east and west
     When the targets in south, east and west cannot be reached from north
     And 0.3 s pass there
-    Then 0 repeatable requests from north go to targets that are held off
-    But 1 repeatable requests from west go to targets that are held off
+    Then 0 repeatable requests from north go to targets that are ejected
+    But 1 repeatable requests from west go to targets that are ejected
--- a/troutstand/tests/steps/clock.py
+++ b/troutstand/tests/steps/clock.py
@@ -52,7 +52,7 @@
     assert not found, found
 
 
-@given("a clock that others can suspend")
+@given("a clock that can be suspended")
 def use_clocks(context: Context) -> None:
     clocks = context.clocks = TwoClocks()
     for name in ("read_monotonic_s", "read_clock_s"):
@@ -73,14 +73,14 @@
     context.clocks.passed_s += length_s
 
 
-@then("{length_s:d} s have passed, and a suspend of {told_s:d} s is told once")
+@then("{length_s:d} s have passed, and a suspension of {told_s:d} s is reported once")
 def check_told(context: Context, length_s: int, told_s: int) -> None:
     assert length_s <= clock.read_clock_s() - context.began_s < length_s + 1
     assert abs(context.watch.pop_suspended_s() - told_s) < MIN_SUSPEND_S
     assert context.watch.pop_suspended_s() < MIN_SUSPEND_S
 
 
-@then("{length_s:d} s have passed, and no suspend is told")
+@then("{length_s:d} s have passed, and no suspension is reported")
 def check_untold(context: Context, length_s: int) -> None:
     assert length_s <= clock.read_clock_s() - context.began_s < length_s + 1
     assert context.watch.pop_suspended_s() < MIN_SUSPEND_S
@@ -122,13 +122,13 @@
     assert context.holder.is_held(clock.read_clock_s())
 
 
-@then("the lease is not held by the clock, though the steady one says so")
+@then("the lease is not held by the clock, though it is by the steady clock")
 def check_lease(context: Context) -> None:
     assert not context.holder.is_held(clock.read_clock_s())
     assert context.holder.is_held(clock.read_monotonic_s() - context.steady_s)
 
 
-@given("a process that has just heard of a keeper")
+@given("a process that has just had contact with a keeper")
 def hear_keeper(context: Context) -> None:
     follower = context.follower = Follower.__new__(Follower)
     follower._node = SimpleNamespace(resumed_s=float("-inf"), events=mock.Mock())  # type: ignore[assignment]
@@ -143,7 +143,7 @@
         context.follower._record_contact(True)
 
 
-@then("what it knows is not fresh until a keeper answers")
+@then("its keeper contact is stale until a keeper answers")
 def check_fresh(context: Context) -> None:
     context.follower._node.resumed_s = clock.read_clock_s()
     assert not context.follower.is_fresh
@@ -151,7 +151,7 @@
     assert context.follower.is_fresh
 
 
-@when("a request ends whole after {total_s:g} s, and one of which nothing was measured")
+@when("a request ends whole after {total_s:g} s, and another without a measurement")
 def end_both(context: Context, total_s: float) -> None:
     desk = context.desk
     desk.end(desk.arrive(), total_s=total_s)
@@ -160,6 +160,6 @@
     desk.dispatcher.finish(Ended(request, target, Ending.whole), desk.now_s)
 
 
-@then("requests are taken to hold their slot for {hold_s:g} s")
+@then("the estimated slot time of requests is {hold_s:g} s")
 def check_hold(context: Context, hold_s: float) -> None:
     assert context.desk.dispatcher.pools["work"].hold_s == hold_s
--- a/troutstand/tests/steps/crashes.py
+++ b/troutstand/tests/steps/crashes.py
@@ -208,17 +208,17 @@
     assert desk.placed.get(request) == desk.listed[-1].target, (desk.placed, desk.declined)
 
 
-@when("{length_s:d} s pass for a decider")
+@when("{length_s:d} s pass for a scheduler")
 def pass_long(context: Context, length_s: int) -> None:
     context.desk.now_s += length_s
 
 
-@when("another decider takes over what gateways were told")
+@when("another scheduler takes over what gateways stored")
 def take_over(context: Context) -> None:
     _take_over(context, 1)
 
 
-@when("another decider takes over what gateways were told twice")
+@when("another scheduler takes over what gateways stored twice")
 def take_over_twice(context: Context) -> None:
     _take_over(context, 2)
 
@@ -244,7 +244,7 @@
             book.record_target_gone(f"t{number}.{turn}", now_s)
 
 
-@then("at most {most:d} bodies are kept, and at most {told:d} are told to others")
+@then("at most {most:d} bodies are kept, and at most {told:d} are reported to others")
 def check_kept(context: Context, most: int, told: int) -> None:
     kept = sum(context.book.is_suspected(f"f{number}") for number in range(3000))
     assert 0 < kept <= most, kept
--- a/troutstand/tests/steps/dispatch.py
+++ b/troutstand/tests/steps/dispatch.py
@@ -304,7 +304,7 @@
     assert not context.desk.declined, context.desk.declined
 
 
-@given("the scheduler before had learnt that a request holds its slot for {hold_s:g} s")
+@given("the previous scheduler had measured that a request holds its slot for {hold_s:g} s")
 def pass_hold_on(context: Context, hold_s: float) -> None:
     before = Desk(1, 2)
     for _ in range(20):
@@ -321,7 +321,7 @@
     assert 1 <= len(waiting) <= 5, waiting
 
 
-@then("a hold learnt here is not replaced by one passed on")
+@then("a slot time measured here is not replaced by a reported one")
 def check_own_hold_kept(context: Context) -> None:
     dispatcher = context.desk.dispatcher
     held = dispatcher.list_holds()
--- a/troutstand/tests/steps/limits.py
+++ b/troutstand/tests/steps/limits.py
@@ -102,7 +102,7 @@
 
 
 @when(
-    "a workspace takes all it can at once, gives it back after {after_s:d} s, "
+    "a workspace takes all it can at once, refunds it after {after_s:d} s, "
     "and asks for four times as much for {length_s:d} s"
 )
 def ask_and_give_back(context: Context, after_s: int, length_s: int) -> None:
@@ -163,7 +163,7 @@
     assert allowed >= least, allowed
 
 
-@then("of {count:d} requests at once some are owed, then some spare, then the rest refused")
+@then("of {count:d} requests at once some are within it, then some excess, the rest refused")
 def check_order(context: Context, count: int) -> None:
     quotas = _make_quotas(context, 0.0)
     verdicts = [quotas.take("w", 2 * _REQUEST_TOKENS, 0.0).verdict for _ in range(count)]
@@ -175,7 +175,7 @@
 # Many small amounts
 
 
-@when("{count:d} requests come within {length_s:d} s, and half of them give back what they took")
+@when("{count:d} requests come within {length_s:d} s, and half of them refund what they took")
 def take_many(context: Context, count: int, length_s: int) -> None:
     quotas = _make_quotas(context, 0.0)
     context.kept = []
@@ -195,7 +195,7 @@
     assert len(context.window) <= most, len(context.window)
 
 
-@then("it holds what was taken and not given back, to the token")
+@then("it holds what was taken and not refunded, to the token")
 def check_total(context: Context) -> None:
     assert abs(context.window.total - 100.0 * len(context.kept)) < 1e-6, context.window.total
 
--- a/troutstand/tests/steps/limitshandover.py
+++ b/troutstand/tests/steps/limitshandover.py
@@ -104,7 +104,7 @@
             _beat(context, other, part, "elsewhere", False)
 
 
-@when("all of them attach to a scheduler that has just begun")
+@when("all of them attach to a scheduler that has just started")
 def attach(context: Context) -> None:
     _attach_all(context, context.scheduler, context.parts)
 
@@ -116,7 +116,7 @@
         _attach_all(context, context.scheduler, context.parts)
 
 
-@when("half of them fall silent, decide alone and come back")
+@when("half of them disconnect, decide locally and attach again")
 def come_back(context: Context) -> None:
     half = context.parts[: len(context.parts) // 2]
     kept = context.parts[len(context.parts) // 2 :]
@@ -128,7 +128,7 @@
     _attach_all(context, context.scheduler, half)
 
 
-@when("half of them start again and attach")
+@when("half of them restart and attach")
 def start_again(context: Context) -> None:
     half = context.parts[: len(context.parts) // 2]
     for part in half:
--- a/troutstand/tests/steps/lives.py
+++ b/troutstand/tests/steps/lives.py
@@ -34,7 +34,7 @@
     return context.desk.dispatcher.pools[_SERVICE].targets["t1"]
 
 
-@given("the first target runs 2 requests, holds prompt parts and has shown its speeds")
+@given("the first target runs 2 requests, has prompt parts cached and known speeds")
 def use_first(context: Context) -> None:
     desk = context.desk
     while desk.count("t1") < 2:
@@ -45,7 +45,7 @@
     state.token_s.add_sample(0.01)
 
 
-@given("the first target is held off for its failures")
+@given("the first target is ejected")
 def hold_off(context: Context) -> None:
     desk = context.desk
     while not desk.count("t1"):
@@ -55,18 +55,18 @@
     assert _first(context).is_ejected(desk.now_s)
 
 
-@when("the list tells {what} of the first target")
+@when("the list shows {what} of the first target")
 def tell(context: Context, what: str) -> None:
     born_ms = {
-        "of a new life": _LATER_MS,
-        "the same life": _BORN_MS,
+        "a new incarnation": _LATER_MS,
+        "the same incarnation": _BORN_MS,
         "no time": 0,
-        "of a new life with an earlier time": _BORN_MS - 5_000,
+        "a new incarnation with an earlier time": _BORN_MS - 5_000,
     }[what]
     _use(context, born_ms, is_from_peer=False)
 
 
-@when("a peer's list tells of an older life of the first target")
+@when("a peer's list shows an older incarnation of the first target")
 def tell_older(context: Context) -> None:
     _use(context, _BORN_MS - 60_000, is_from_peer=True)
 
@@ -79,7 +79,7 @@
     desk.collect()
 
 
-@then("the first target runs nothing, holds nothing and its speeds are unknown")
+@then("the first target runs nothing, caches nothing and its speeds are unknown")
 def check_unknown(context: Context) -> None:
     state = _first(context)
     assert not state.running, state.running
@@ -104,7 +104,7 @@
     assert desk.count("t1"), desk.placed
 
 
-@when("a gateway brings a run and speeds of {which} life of the first target")
+@when("a gateway reports a request and speeds of {which} incarnation of the first target")
 def bring(context: Context, which: str) -> None:
     desk = context.desk
     born_ms = _BORN_MS - 60_000 if which == "an earlier" else _BORN_MS
@@ -114,20 +114,20 @@
     desk.dispatcher.merge_speeds([speed])
 
 
-@given("a gateway that saw speeds of two lives of a target")
+@given("a gateway that measured speeds of two incarnations of a target")
 def see_two(context: Context) -> None:
     context.seen = ObservedSpeeds()
     context.seen.record_token_time(_SERVICE, "t1", _BORN_MS, 0.04, 100.0)
     context.seen.record_token_time(_SERVICE, "t1", _LATER_MS, 0.01, 101.0)
 
 
-@then("it passes on those of the later life only")
+@then("it reports those of the later incarnation only")
 def check_passed(context: Context) -> None:
     (speed,) = context.seen.list_recent(102.0)
     assert (speed.born_ms, speed.token_s, speed.token_samples) == (_LATER_MS, 0.01, 1), speed
 
 
-@when("an entry of the platform's list is born {born}")
+@when("an entry of the platform's list has the start time {born}")
 def write_born(context: Context, born: str) -> None:
     targets = load_folder()[2]
     entry = {**LISTED, "born": json.loads(born)}
@@ -137,6 +137,6 @@
     context.page = targets.decode_targets(data)
 
 
-@then("its target is born {told:d}")
+@then("its target has the start time {told:d}")
 def check_born(context: Context, told: int) -> None:
     assert [entry.born_ms for entry in context.page.targets] == [told], context.page
--- a/troutstand/tests/steps/pacing.py
+++ b/troutstand/tests/steps/pacing.py
@@ -142,7 +142,7 @@
     desk.dispatcher.update_targets(desk.listed, desk.now_s)
 
 
-@when("t1 loses each of its answers for {length_s:g} s while all others are held off")
+@when("t1 loses each of its answers for {length_s:g} s while all others are ejected")
 def lose_answers(context: Context, length_s: float) -> None:
     desk = context.desk
     context.sent_s = []
--- a/troutstand/tests/steps/reach.py
+++ b/troutstand/tests/steps/reach.py
@@ -178,7 +178,7 @@
     assert all(target.startswith("south") for target in placed), placed
 
 
-@then("the way from {source} to {destination} is reported as {state}")
+@then("the link from {source} to {destination} is reported as {state}")
 def check_reported(context: Context, source: str, destination: str, state: str) -> None:
     changes = {c.link: c for c in context.cut.dispatcher.reach.drain_changes()}
     change = changes[Link(source, destination)]
@@ -204,6 +204,6 @@
     return sum(1 for target in placed if targets[target].is_ejected(cut.now_s))
 
 
-@then("{count:d} repeatable requests from {source} go to targets that are held off")
+@then("{count:d} repeatable requests from {source} go to targets that are ejected")
 def check_probes(context: Context, count: int, source: str) -> None:
     assert _count_probes(context.cut, source) == count
