--- a/troutstand/tests/pacing.feature
+++ b/troutstand/tests/pacing.feature
@@ -4,7 +4,7 @@
   # responses name it, and is handed over between schedulers.
 
   Background:
-    Given a desk for 3 targets of 2 slots
+    Given a dispatcher for 3 targets of 2 slots
 
   Scenario Outline: The rate limit is used fully and not exceeded
     When t1 names a limit of <limit> a second to gateway-1
@@ -21,14 +21,14 @@
       | 30    | 330   | 368  | 128    |
 
   Scenario: A scheduler of half of the gateways uses half of the rate limit
-    When the desk decides for 0.5 of the gateways
+    When the dispatcher decides for 0.5 of the gateways
     And t1 names a limit of 2 a second to gateway-1
     And gateway-1 and gateway-2 ask for all places for 12 s
     Then t1 got 10 to 13 requests, and at most 5 within 4 s
 
   Scenario: A scheduler whose share of the gateways changes uses its new share
     When t1 names a limit of 4 a second to gateway-1
-    And the desk decides for 0.25 of the gateways
+    And the dispatcher decides for 0.25 of the gateways
     And gateway-1 and gateway-2 ask for all places for 12 s
     Then t1 got 10 to 13 requests, and at most 5 within 4 s
 
@@ -53,14 +53,14 @@
 
   Scenario: A rate limit ends with a response to a later request that does not name it
     When t1 names a limit of 1 a second to gateway-1
-    And 1.1 s pass at the desk
+    And 1.1 s pass at the dispatcher
     And a request of gateway-2 is answered by t1
     Then t1 names no limit
 
   Scenario: A response to an earlier request does not end a rate limit
     Given gateway-1 has a request at t1
     When t1 names a limit of 1 a second to gateway-2
-    And the request at t1 ends whole
+    And the request at t1 succeeds
     Then t1 names a limit of 1 a second
 
   Scenario: A new rate limit replaces the previous one
@@ -78,12 +78,12 @@
       | what                                  |
       | the list of targets is read again     |
       | the list of targets lacks t1 once     |
-      | 20 s pass at the desk                 |
-      | t1 turns 1 requests of gateway-1 away |
+      | 20 s pass at the dispatcher           |
+      | t1 rejects 1 requests of gateway-1    |
 
   Scenario: A new incarnation of a target has no rate limit
     When t1 names a limit of 1 a second to gateway-1
-    And the list of targets tells of a new life of t1
+    And the list of targets shows a new incarnation of t1
     Then t1 names no limit
 
   Scenario: An ejected target is probed within its rate limit
@@ -93,7 +93,7 @@
 
   Scenario: If all targets name a rate limit, late requests are refused on arrival with a Retry-After
     When each target names a limit of 0.5 a second to gateway-1
-    And 0.1 s pass at the desk
+    And 0.1 s pass at the dispatcher
     Then a request of gateway-1 with an objective of 0.5 s is refused at once with 3014 after 0.667 s
 
   Scenario: If all targets name a rate limit, a request that can be placed in time waits
@@ -104,7 +104,7 @@
   Scenario: Free slots of targets with a rate limit do not admit more requests
     Given every other target is full
     When t1 names a limit of 5 a second to gateway-1
-    Then the service has no room to spare
+    Then the service has no spare capacity
 
   # Gateways store the limit for the next scheduler.
 
--- a/troutstand/tests/reload.feature
+++ b/troutstand/tests/reload.feature
@@ -4,8 +4,8 @@
 
   Scenario Outline: A <role> that starts or stops survives SIGHUP
     Given a routed site with 2 engines and 2 plain targets
-    When a <role> starts anew and is told to reload again and again until it ends
-    Then it served, and ended by itself with 0
+    When a <role> restarts and gets SIGHUP repeatedly until it ends
+    Then it served, and exited by itself with 0
 
     Examples:
       | role      |
@@ -17,5 +17,5 @@
   # must not count this as a crash.
   Scenario: The soak sends SIGHUP to a process only after its handler is installed
     Given a routed site with 2 engines and 2 plain targets
-    When a soak tells a gateway to reload as soon as it is started, 5 times
-    Then it lived on each time
+    When a soak sends SIGHUP to a gateway as soon as it is started, 5 times
+    Then it survived each time
--- a/troutstand/tests/rollouts.feature
+++ b/troutstand/tests/rollouts.feature
@@ -1,7 +1,7 @@
 Feature: Rollouts of a new version of a service's targets, and rollbacks
 
   Scenario: An order is idempotent, and another one is refused until it has ended
-    Given a rollout book in which "v1" serves
+    Given a rollout state in which "v1" serves
     When "v2" is ordered within 12 s
     Then the order for "v2" is in_progress
     And the same order again changes nothing
@@ -11,7 +11,7 @@
     And the order cannot go to rolled_back
 
   Scenario: A version that was rolled back needs a new order
-    Given a rollout book in which "v1" serves
+    Given a rollout state in which "v1" serves
     When "v2" is ordered within 12 s
     And the order goes to rolled_back
     Then "v1" serves
@@ -20,18 +20,18 @@
     Then the order for "v2" is in_progress
 
   Scenario: An order can't be completed before the service is switched over
-    Given a rollout book in which "v1" serves
+    Given a rollout state in which "v1" serves
     When "v2" is ordered within 12 s
     Then the order cannot go to completed
 
   Scenario: The serving version is recorded once and then changes by orders only
-    Given an empty rollout book
+    Given an empty rollout state
     When targets of version "v1" are seen
     And targets of version "v9" are seen
     Then "v1" serves
 
   Scenario Outline: <case>
-    Given a rollout book in which "v1" serves
+    Given a rollout state in which "v1" serves
     And the order for "v2" is <state>, <confirmed>
     Then targets of "v1" are <one> and targets of "v2" are <two>
     And targets of "v3" are closed
@@ -46,64 +46,64 @@
       | A version that was rolled back gets nothing       | rolled_back | confirmed   | open   | closed |
 
   Scenario: An unknown version gets no requests without an order
-    Given a rollout book in which "v1" serves
+    Given a rollout state in which "v1" serves
     Then targets of "v1" are open and targets of "v2" are closed
 
   Scenario: A process that missed the end of a rollout uses the only version that is left
-    Given a rollout book in which "v1" serves
+    Given a rollout state in which "v1" serves
     And the order for "v2" is in_progress, unconfirmed
     Then where only targets of "v2" are left, they are open
 
   Scenario: A canary version gets its share of each route and no more
-    Given a decider with 4 targets of "v1" and 4 of "v2", which is on trial
-    When 400 requests of route "a" and 100 of route "b" come and go
+    Given a scheduler with 4 targets of "v1" and 4 of "v2", which is the canary
+    When 400 requests of route "a" and 100 of route "b" start and end
     Then targets of "v2" got 16 of route "a" and 4 of route "b"
     And each target of "v2" got 5 or 5 of them
 
   Scenario: A service with few requests still sends a canary enough of them to evaluate it
-    Given a decider with 4 targets of "v1" and 4 of "v2", which is on trial
-    And most gateways ask this decider
-    When 75 requests of route "a" and 25 of route "b" come and go
+    Given a scheduler with 4 targets of "v1" and 4 of "v2", which is the canary
+    And most gateways use this scheduler
+    When 75 requests of route "a" and 25 of route "b" start and end
     Then targets of "v2" got 18 of route "a" and 6 of route "b"
 
   # Answers to the previous order's version must not roll back the order that follows it.
   Scenario: The outcomes of one order do not count for the next
-    Given a decider with 4 targets of "v1" and 4 of "v2", which is on trial
+    Given a scheduler with 4 targets of "v1" and 4 of "v2", which is the canary
     And all answers of "v2" failed
     Then the order is judged bad
-    And an order that the decider does not follow yet is judged unproven
+    And an order that the scheduler does not follow yet is judged unproven
 
   Scenario: Requests that would outlast the old version go to the new one, within its exposure limit
-    Given a decider with 4 targets of "v1" and 4 of "v2", which is on trial
-    And the version on trial is good so far, and 1 s are left
-    When 400 requests of route "a" that take 3 s come and go
+    Given a scheduler with 4 targets of "v1" and 4 of "v2", which is the canary
+    And the canary is good so far, and 1 s are left
+    When 400 requests of route "a" that take 3 s start and end
     Then targets of "v2" got 35 of route "a" and 0 of route "b"
 
   Scenario: Requests that end in time stay at the old version
-    Given a decider with 4 targets of "v1" and 4 of "v2", which is on trial
-    And the version on trial is good so far, and 1 s are left
-    When 400 requests of route "a" that take 0.1 s come and go
+    Given a scheduler with 4 targets of "v1" and 4 of "v2", which is the canary
+    And the canary is good so far, and 1 s are left
+    When 400 requests of route "a" that take 0.1 s start and end
     Then targets of "v2" got 16 of route "a" and 0 of route "b"
 
   Scenario: A request that failed at the canary version is retried at the other version
-    Given a decider with 4 targets of "v1" and 4 of "v2", which is on trial
-    When 25 second tries of route "a" come and go
+    Given a scheduler with 4 targets of "v1" and 4 of "v2", which is the canary
+    When 25 second attempts of route "a" start and end
     Then targets of "v2" got 0 of route "a" and 0 of route "b"
 
   Scenario: A canary found bad is blocked before the keepers confirm the rollback
-    Given a decider with 4 targets of "v1" and 4 of "v2", which is on trial
-    When the decider finds the version bad
-    And 400 requests of route "a" and 100 of route "b" come and go
+    Given a scheduler with 4 targets of "v1" and 4 of "v2", which is the canary
+    When the scheduler finds the canary bad
+    And 400 requests of route "a" and 100 of route "b" start and end
     Then targets of "v2" got 0 of route "a" and 0 of route "b"
 
   Scenario: Target lists read before the rollout state is known admit no unordered version
-    Given a decider with 4 targets of "v1" and 4 of "v2", which nobody ordered
-    When 400 requests of route "a" and 100 of route "b" come and go
+    Given a scheduler with 4 targets of "v1" and 4 of "v2", which nobody ordered
+    When 400 requests of route "a" and 100 of route "b" start and end
     Then targets of "v2" got 0 of route "a" and 0 of route "b"
 
   Scenario Outline: <case>
     Given <count> targets of each version
-    When the version on trial answers for 9 s and <what>
+    When the canary answers for 9 s and <what>
     Then it is judged <verdict>
 
     Examples:
@@ -124,12 +124,12 @@
 
   Scenario: A switch is not completed at once while some gateways use other schedulers
     Given an order of 12 s that is switching for 0.5 s, judged good
-    And 0.9 of the gateways ask this scheduler
+    And 0.9 of the gateways use this scheduler
     Then its next step is none
 
   Scenario: A scheduler that few gateways use ends no rollout by its own outcomes alone
     Given an order of 12 s that is in_progress for 11.5 s, judged unproven
-    And 0.2 of the gateways ask this scheduler
+    And 0.2 of the gateways use this scheduler
     Then its next step is none
 
   Scenario Outline: <case>
--- a/troutstand/tests/scheduler.feature
+++ b/troutstand/tests/scheduler.feature
@@ -5,12 +5,12 @@
 
   Scenario: Waiting requests are granted by rank
     Given all slots run requests of rank 0
-    When requests of rank 3, 1, 2 and 0 are submitted and slots fall free
+    When requests of rank 3, 1, 2 and 0 are submitted and slots become free
     Then they are granted in the order 0, 1, 2, 3
 
   Scenario: Running lower work is cancelled before higher work is shed
     Given all slots run requests of rank 3
-    When a request of rank 0 is submitted and its patience is nearly over
+    When a request of rank 0 is submitted and its slack is nearly over
     Then one request of rank 3 is cancelled and none of rank 0 is shed
 
   Scenario: Queued lower work is shed before higher work
@@ -23,7 +23,7 @@
     Given all slots run requests of rank 0
     When 200 requests of rank 0 are submitted at once
     Then those that cannot start in time are refused at once
-    And their times to come back differ
+    And their retry times differ
 
   Scenario: A prompt goes to the target that has its prefix cached
     When a long prompt has run on one target
@@ -36,14 +36,14 @@
     And after the backoff one request tries it again
 
   Scenario: A draining target gets no new requests
-    When the table calls one target leaving
+    When the table lists one target as draining
     Then the next 2 requests are granted the other target
-    When the platform's list calls the other target leaving
+    When the platform's list shows the other target as draining
     Then a request is refused with 3008
 
   Scenario: Workspaces share a tier by weight
     Given workspaces with weights 3 and 1 that always have requests waiting
-    When 80 slots fall free
+    When 80 slots become free
     Then they got 60 and 20 grants, give or take 2
 
   Scenario: A workspace over its rate limit is refused
--- a/troutstand/tests/soak.feature
+++ b/troutstand/tests/soak.feature
@@ -1,12 +1,12 @@
 Feature: The checker of the fault soak finds violated guarantees, and a short soak has none
 
   Scenario: A record without a fault passes
-    Given the record of a sound soak
+    Given the record of a correct soak
     Then the checker finds nothing
 
   Scenario Outline: The checker catches <fault>
-    Given the record of a sound soak
-    When it is doctored with <fault>
+    Given the record of a correct soak
+    When it is altered to contain <fault>
     Then the checker names <words>
 
     Examples:
@@ -30,8 +30,8 @@
       | a process that ended by itself     | ended by itself     |
 
   Scenario Outline: The checker allows <case>
-    Given the record of a sound soak
-    When it is doctored with <case>
+    Given the record of a correct soak
+    When it is altered to contain <case>
     Then the checker finds nothing
 
     Examples:
@@ -47,7 +47,7 @@
   # The end of the first of two overlapping drains must not list the target as ready.
   Scenario: A target whose drains overlap is listed as draining until the last one ends
     When a target is drained for 0.4 s, and 0.2 s later for 0.6 s
-    Then it is listed as draining at 0.6 s, and as ready in a new life after 0.8 s
+    Then it is listed as draining at 0.6 s, and as ready in a new incarnation after 0.8 s
 
   Scenario: A seed always gives the same plan, and other seeds give other plans
     Then seed 7 draws one plan twice and seed 8 another
--- a/troutstand/tests/steps/pacing.py
+++ b/troutstand/tests/steps/pacing.py
@@ -32,7 +32,7 @@
     tell(desk, gateway, *(TargetNotice(name, limit_per_s=limit_per_s) for name in names))
 
 
-@when("the desk decides for {part:g} of the gateways")
+@when("the dispatcher decides for {part:g} of the gateways")
 def use_part(context: Context, part: float) -> None:
     context.desk.dispatcher.set_rate_limit_share(part, context.desk.now_s)
 
--- a/troutstand/tests/steps/reload.py
+++ b/troutstand/tests/steps/reload.py
@@ -40,7 +40,7 @@
         time.sleep(_GAP_S)
 
 
-@when("a {role} starts anew and is told to reload again and again until it ends")
+@when("a {role} restarts and gets SIGHUP repeatedly until it ends")
 def tell_all_along(context: Context, role: str) -> None:
     site = context.scene.site
     process = site.list_role(RoutingRole(role))[0]
@@ -58,13 +58,13 @@
     context.ended, context.log = child.poll(), process.log.read_text()[before:]
 
 
-@then("it served, and ended by itself with 0")
+@then("it served, and exited by itself with 0")
 def check_ended(context: Context) -> None:
     assert context.ended == 0, f"{context.ended}: {context.log[-300:]}"
     assert "event=process_started" in context.log
 
 
-@when("a soak tells a gateway to reload as soon as it is started, {count:d} times")
+@when("a soak sends SIGHUP to a gateway as soon as it is started, {count:d} times")
 def tell_by_soak(context: Context, count: int) -> None:
     scene = context.scene
     soak = Soak(SoakPlan(seed=0), scene.folder)
@@ -79,6 +79,6 @@
         context.ends.append(process.child.poll())
 
 
-@then("it lived on each time")
+@then("it survived each time")
 def check_lived(context: Context) -> None:
     assert context.ends == [None] * len(context.ends), context.ends
--- a/troutstand/tests/steps/rest.py
+++ b/troutstand/tests/steps/rest.py
@@ -24,7 +24,7 @@
 _NEW_LIFE_MS = 1_768_089_512_914
 
 
-@given("a desk for {targets:d} targets of {slots:d} slots")
+@given("a dispatcher for {targets:d} targets of {slots:d} slots")
 def make_desk(context: Context, targets: int, slots: int) -> None:
     context.desk = Desk(targets, slots)
     context.book = NoticeStore()
@@ -65,13 +65,13 @@
     assert context.request not in context.desk.placed
 
 
-@when("{target} asks gateway-1 for {rest_s:g} s of rest")
+@when("{target} asks gateway-1 for a backoff of {rest_s:g} s")
 def ask_rest(context: Context, target: str, rest_s: float) -> None:
     targets = [t.target for t in context.desk.listed] if target == "each target" else [target]
     tell(context.desk, GATEWAY, *(TargetNotice(name, rest_s=rest_s) for name in targets))
 
 
-@when("t1 turns {count:d} requests of gateway-1 away")
+@when("t1 rejects {count:d} requests of gateway-1")
 def turn_away(context: Context, count: int) -> None:
     desk = context.desk
     for _ in range(count):
@@ -83,12 +83,12 @@
         desk.end(name, Ending.turned_away)
 
 
-@when("{target} tells gateway-1 that it leaves")
+@when("{target} tells gateway-1 that it is draining")
 def tell_leaving(context: Context, target: str) -> None:
     tell(context.desk, GATEWAY, TargetNotice(target, is_leaving=True))
 
 
-@when("the request at t1 ends whole")
+@when("the request at t1 succeeds")
 def end_whole(context: Context) -> None:
     context.desk.end(context.request)
 
@@ -99,7 +99,7 @@
     desk.dispatcher.update_targets(desk.listed, desk.now_s)
 
 
-@when("the list of targets tells of a new life of t1")
+@when("the list of targets shows a new incarnation of t1")
 def read_new_life(context: Context) -> None:
     desk = context.desk
     before = [msgspec.structs.replace(t, born_ms=_NEW_LIFE_MS - 1) for t in desk.listed]
@@ -121,29 +121,29 @@
     read_again(context)
 
 
-@when("a request at t1 ends whole")
+@when("a request at t1 succeeds")
 def end_one(context: Context) -> None:
     desk = context.desk
     desk.end(next(name for name, target in desk.placed.items() if target == "t1"))
 
 
-@then("the one that waits has no target")
+@then("the waiting request has no target")
 def check_unplaced(context: Context) -> None:
     assert context.request not in context.desk.placed
 
 
-@when("a gateway's own list shows t1 as leaving")
+@when("a gateway's own list shows t1 as draining")
 def tell_listed(context: Context) -> None:
     context.desk.dispatcher.mark_leaving(["t1"])
 
 
-@when("a gateway that attaches brings that t1 leaves and t2 wants {rest_s:g} s of rest")
+@when("a gateway that attaches reports that t1 is draining and t2 wants a backoff of {rest_s:g} s")
 def attach(context: Context, rest_s: float) -> None:
     notices = [TargetNotice("t1", is_leaving=True), TargetNotice("t2", rest_s=rest_s)]
     tell(context.desk, GATEWAY, *notices)
 
 
-@when("{length_s:g} s pass at the desk")
+@when("{length_s:g} s pass at the dispatcher")
 def pass_time(context: Context, length_s: float) -> None:
     context.desk.pass_time(length_s)
 
@@ -231,7 +231,7 @@
     assert context.desk.declined[context.request].code == code
 
 
-@then("the service has no room to spare")
+@then("the service has no spare capacity")
 def check_spare(context: Context) -> None:
     desk = context.desk
     assert not desk.dispatcher.pools["work"].has_spare_capacity(desk.now_s)
@@ -250,37 +250,37 @@
     return target, int(life or 0)
 
 
-@when("the book hears that t1 wants {rest_s:g} s of rest and t2 leaves")
+@when("the notice store learns that t1 wants a backoff of {rest_s:g} s and t2 is draining")
 def hear_both(context: Context, rest_s: float) -> None:
     assert hear(context, TargetNotice("t1", rest_s=rest_s))
     assert hear(context, TargetNotice("t2", is_leaving=True))
     assert not hear(context, TargetNotice("t2", is_leaving=True)), "told twice is no news"
 
 
-@when("the book hears that t1 wants {first_s:g} s of rest, then {second_s:g} s")
+@when("the notice store learns that t1 wants a backoff of {first_s:g} s, then {second_s:g} s")
 def hear_twice(context: Context, first_s: float, second_s: float) -> None:
     for rest_s in (first_s, second_s):
         hear(context, TargetNotice("t1", rest_s=rest_s))
 
 
-@when("the book hears that {target} leaves")
+@when("the notice store learns that {target} is draining")
 def hear_leaving(context: Context, target: str) -> None:
     hear(context, TargetNotice(*_name_life(target), is_leaving=True))
 
 
-@then("the book keeps back t1 as resting for {rest_s:g} s and t2 as leaving for ever")
+@then("the notice store blocks t1 as in backoff for {rest_s:g} s and t2 as draining for ever")
 def check_both(context: Context, rest_s: float) -> None:
     check_resting(context, rest_s)
     assert context.book.get_block_reason("t2", 0, _BEGAN_S + 1e6) is BlockReason.LEAVING
 
 
-@then("the book keeps back t1 as resting for {rest_s:g} s")
+@then("the notice store blocks t1 as in backoff for {rest_s:g} s")
 def check_resting(context: Context, rest_s: float) -> None:
     assert context.book.get_block_reason("t1", 0, _BEGAN_S + rest_s - 0.01) is BlockReason.BACKOFF
     assert context.book.get_block_reason("t1", 0, _BEGAN_S + rest_s + 0.01) is None
 
 
-@then("it tells deciders of both, and of t2 alone after {rest_s:g} s")
+@then("it reports both to schedulers, and t2 alone after {rest_s:g} s")
 def check_told(context: Context, rest_s: float) -> None:
     told = context.book.list_notices(_BEGAN_S + 0.5)
     assert [(n.target, n.is_leaving, n.rest_s) for n in told] == [
@@ -290,12 +290,12 @@
     assert [n.target for n in context.book.list_notices(_BEGAN_S + rest_s)] == ["t2"]
 
 
-@then("the book lets requests to {target} pass")
+@then("the notice store allows requests to {target}")
 def check_passes(context: Context, target: str) -> None:
     assert context.book.get_block_reason(*_name_life(target), _BEGAN_S) is None
 
 
-@then("the book keeps back {target} as leaving")
+@then("the notice store blocks {target} as draining")
 def check_leaving(context: Context, target: str) -> None:
     assert context.book.get_block_reason(*_name_life(target), _BEGAN_S) is BlockReason.LEAVING
 
@@ -331,13 +331,13 @@
     context.notice = parse_notice(status, index.get, HeaderNames())
 
 
-@then("it asks for {rest_s:g} s of rest and {says} that its target leaves")
+@then("it asks for a backoff of {rest_s:g} s and {says} that its target is draining")
 def check_notice(context: Context, rest_s: float, says: str) -> None:
     assert context.notice.rest_s == rest_s, context.notice
     assert context.notice.is_leaving == (says == "says"), context.notice
 
 
-@then("the second one is kept back and does not reach the target")
+@then("the second one is blocked and does not reach the target")
 def check_kept_back(context: Context) -> None:
     assert context.outcomes[1] == "kept_back", context.outcomes
     assert len(context.target.received) == 1
--- a/troutstand/tests/steps/resting.py
+++ b/troutstand/tests/steps/resting.py
@@ -52,14 +52,14 @@
     return [t for t in context.scene.targets if t.service == service][:count]
 
 
-@when("{count:d} {kind} turn requests away and ask for {rest_s:g} s of rest")
+@when("{count:d} {kind} reject requests and ask for a backoff of {rest_s:g} s")
 def ask_for_rest(context: Context, count: int, kind: str, rest_s: float) -> None:
     for target in list_some(context, count, kind):
         target.backoff_s = rest_s
         target.fault = Fault.SHED
 
 
-@when("{count:d} {kind} say in their answers that they leave")
+@when("{count:d} {kind} announce in their answers that they are draining")
 def tell_leaving(context: Context, count: int, kind: str) -> None:
     for target in list_some(context, count, kind):
         target.is_leaving = True
@@ -91,7 +91,7 @@
     return {result.request: result for result in context.scene.caller.results}
 
 
-@then("no gateway sent more than {most:d} requests within a rest")
+@then("no gateway sent more than {most:d} requests within a backoff")
 def check_rests(context: Context, most: int) -> None:
     arrivals = list_arrivals(context)
     assert any(arrival.backoff_s for arrival in arrivals), "no target asked for rest"
--- a/troutstand/tests/steps/rollouts.py
+++ b/troutstand/tests/steps/rollouts.py
@@ -45,13 +45,13 @@
 # The book
 
 
-@given('a rollout book in which "{version}" serves')
+@given('a rollout state in which "{version}" serves')
 def use_book(context: Context, version: str) -> None:
     context.book = RolloutBook([ServiceRollout(_SERVICE, version)])
     context.view = ServiceRolloutView(context.book.services[0], is_leased=True, may_sample=True)
 
 
-@given("an empty rollout book")
+@given("an empty rollout state")
 def use_empty_book(context: Context) -> None:
     context.book = RolloutBook()
 
@@ -169,18 +169,18 @@
     context.got = Counter()
 
 
-@given('a decider with {count:d} targets of "v1" and {same:d} of "v2", which is on trial')
+@given('a scheduler with {count:d} targets of "v1" and {same:d} of "v2", which is the canary')
 def use_trial_desk(context: Context, count: int, same: int) -> None:
     order = RolloutOrder(_NUMBER, "v2", 12.0, 1000.0, RolloutState.in_progress)
     _make_desk(context, count, ServiceRollout(_SERVICE, "v1", order))
 
 
-@given('a decider with {count:d} targets of "v1" and {same:d} of "v2", which nobody ordered')
+@given('a scheduler with {count:d} targets of "v1" and {same:d} of "v2", which nobody ordered')
 def use_unordered_desk(context: Context, count: int, same: int) -> None:
     _make_desk(context, count, ServiceRollout(_SERVICE, "v1"))
 
 
-@when("the decider finds the version bad")
+@when("the scheduler finds the canary bad")
 def block_canary(context: Context) -> None:
     context.desk.dispatcher.block_canary(_SERVICE)
 
@@ -191,13 +191,13 @@
     context.desk.end(name)
 
 
-@when('{some:d} requests of route "a" and {others:d} of route "b" come and go')
+@when('{some:d} requests of route "a" and {others:d} of route "b" start and end')
 def let_come(context: Context, some: int, others: int) -> None:
     for number in range(some + others):
         _come_and_go(context, "b" if number % (some // others + 1) == 0 else "a", 1)
 
 
-@when('{count:d} second tries of route "a" come and go')
+@when('{count:d} second attempts of route "a" start and end')
 def let_second_come(context: Context, count: int) -> None:
     for _ in range(count):
         _come_and_go(context, "a", 2)
@@ -241,24 +241,24 @@
     assert _judge_order(context, _NUMBER) is Verdict(verdict)
 
 
-@then("an order that the decider does not follow yet is judged {verdict}")
+@then("an order that the scheduler does not follow yet is judged {verdict}")
 def check_judged_next(context: Context, verdict: str) -> None:
     assert _judge_order(context, _NUMBER + 1) is Verdict(verdict)
 
 
-@given("most gateways ask this decider")
+@given("most gateways use this scheduler")
 def use_primary(context: Context) -> None:
     context.desk.dispatcher.pools[_SERVICE].canary.is_primary = True
 
 
-@given("the version on trial is good so far, and {left_s:g} s are left")
+@given("the canary is good so far, and {left_s:g} s are left")
 def clear(context: Context, left_s: float) -> None:
     canary = context.desk.dispatcher.pools[_SERVICE].canary
     canary.is_healthy = True
     canary.deadline_s = context.desk.now_s + left_s
 
 
-@when('{count:d} requests of route "a" that take {stay_s:g} s come and go')
+@when('{count:d} requests of route "a" that take {stay_s:g} s start and end')
 def let_long_come(context: Context, count: int, stay_s: float) -> None:
     for target in context.desk.dispatcher.pools[_SERVICE].targets.values():
         target.service_s.add_sample(stay_s)
@@ -307,7 +307,7 @@
         )
 
 
-@when("the version on trial answers for {length_s:d} s and {what}")
+@when("the canary answers for {length_s:d} s and {what}")
 def answer(context: Context, length_s: int, what: str) -> None:
     behaviour, rng = _Behaviour(what), random.Random(5)
     outcomes = OutcomeCounts(_NUMBER)
@@ -357,7 +357,7 @@
     context.situation = replace(context.situation, **fields)
 
 
-@given("{lead:g} of the gateways ask this scheduler")
+@given("{lead:g} of the gateways use this scheduler")
 def use_lead(context: Context, lead: float) -> None:
     _change(context, gateway_share=lead)
 
--- a/troutstand/tests/steps/scheduler.py
+++ b/troutstand/tests/steps/scheduler.py
@@ -127,7 +127,7 @@
     assert len(context.driver.granted) == 4
 
 
-@when("requests of rank 3, 1, 2 and 0 are submitted and slots fall free")
+@when("requests of rank 3, 1, 2 and 0 are submitted and slots become free")
 def submit_ranks(context: Context) -> None:
     driver = context.driver
     for rank in (3, 1, 2, 0):
@@ -141,7 +141,7 @@
     assert context.driver.order[4:] == ["rank0", "rank1", "rank2", "rank3"], context.driver.order
 
 
-@when("a request of rank 0 is submitted and its patience is nearly over")
+@when("a request of rank 0 is submitted and its slack is nearly over")
 def submit_pressed(context: Context) -> None:
     context.driver.submit("high", 0)
     context.driver.advance(1.9)
@@ -187,7 +187,7 @@
     assert len(context.driver.shed) > 100, len(context.driver.shed)
 
 
-@then("their times to come back differ")
+@then("their retry times differ")
 def assert_spread(context: Context) -> None:
     times = {shed.retry_after_ms for shed in context.driver.shed.values()}
     assert min(times) > 0 and len(times) > len(context.driver.shed) // 2, times
@@ -252,13 +252,13 @@
     assert list(driver.granted.values()).count(context.target) == 1, driver.granted
 
 
-@when("the table calls one target leaving")
+@when("the table lists one target as draining")
 def leave_by_table(context: Context) -> None:
     context.target = "a"
     context.driver.set_rows([make_target("a", TargetState.leaving)])
 
 
-@when("the platform's list calls the other target leaving")
+@when("the platform's list shows the other target as draining")
 def leave_by_list(context: Context) -> None:
     context.driver.scheduler.update_leaving(frozenset({"b"}))
 
@@ -284,7 +284,7 @@
         driver.submit(f"small-{number}", 0, "small", wait_ms=10**7)
 
 
-@when("{count:d} slots fall free")
+@when("{count:d} slots become free")
 def free_slots(context: Context, count: int) -> None:
     driver = context.driver
     while len(driver.order) < count:
--- a/troutstand/tests/steps/soak.py
+++ b/troutstand/tests/steps/soak.py
@@ -43,7 +43,7 @@
     return b"".join(make_event(request, number) for number in numbers)
 
 
-@given("the record of a sound soak")
+@given("the record of a correct soak")
 def make_record(context: Context) -> None:
     contents = [b"one", b"two"]
     context.record = SoakRecord(
@@ -106,7 +106,7 @@
         _arrive(record, 11.5 + 0.2 * number, limit=limit)
 
 
-@when("it is doctored with {fault}")
+@when("it is altered to contain {fault}")
 def doctor(context: Context, fault: str) -> None:
     record = context.record
     match fault:
@@ -196,7 +196,7 @@
     asyncio.run(play())
 
 
-@then("it is listed as draining at {at_s:g} s, and as ready in a new life after {end_s:g} s")
+@then("it is listed as draining at {at_s:g} s, and as ready in a new incarnation after {end_s:g} s")
 def check_drained(context: Context, at_s: float, end_s: float) -> None:
     assert context.is_draining and context.born_ms == 1, f"listed as ready at {at_s} s"
     assert not context.target.is_draining and context.target.born_ms > 1
--- a/troutstand/tests/steps/succession.py
+++ b/troutstand/tests/steps/succession.py
@@ -99,7 +99,7 @@
     _hear(context, "d", "spare")
 
 
-@when("all but a were silent since a stood still and d waits")
+@when("all but a were silent since a stalled and d waits")
 def stand_still(context: Context) -> None:
     _hear(context, "b", age_s=9)
     _hear(context, "c", age_s=9)
@@ -164,7 +164,7 @@
     assert count_copy_quorum(context.keepers) == needed
 
 
-@given("a contact heard {age_s:d} s ago")
+@given("a contact last heard {age_s:d} s ago")
 def hear_old(context: Context, age_s: int) -> None:
     context.contacts = ContactRegistry()
     context.now_s = _NOW_S
@@ -172,7 +172,7 @@
     context.contacts.update(make_contact("a", _FIRST_DISK, age_s), context.now_s)
 
 
-@when("the same word is passed on with its age for {length_s:d} s")
+@when("the same contact is passed on with its age for {length_s:d} s")
 def pass_on(context: Context, length_s: int) -> None:
     for _ in range(length_s):
         context.now_s += 1
@@ -181,7 +181,7 @@
         context.contacts.expire(context.now_s)
 
 
-@then("the contact is forgotten")
+@then("the contact expires")
 def check_forgotten(context: Context) -> None:
     assert context.contacts.find("a") is None
 
--- a/troutstand/tests/steps/takeover.py
+++ b/troutstand/tests/steps/takeover.py
@@ -100,7 +100,7 @@
     assert state.backlog_tokens == tokens, state.backlog_tokens
 
 
-@given("{gateways:d} gateways that decide alone for {targets:d} like targets")
+@given("{gateways:d} gateways that decide locally for {targets:d} equal targets")
 def use_alone(context: Context, gateways: int, targets: int) -> None:
     context.dispatchers = [_make_dispatcher(targets, seed) for seed in range(gateways)]
 
@@ -115,7 +115,7 @@
     assert max(context.counts.values()) <= most, context.counts
 
 
-@given("a scheduler of {targets:d} like targets")
+@given("a scheduler of {targets:d} equal targets")
 def use_scheduler(context: Context, targets: int) -> None:
     context.count = targets
 
@@ -214,7 +214,7 @@
     context.dispatcher.finish(Ended("first", context.runs, Ending.left), _NOW_S)
 
 
-@then("the one that moved has it")
+@then("the request that moved gets it")
 def check_moved(context: Context) -> None:
     placed = [d.answer.request for d in context.dispatcher.drain_decisions()]
     assert placed == ["moved"], placed
@@ -235,7 +235,7 @@
     context.work = context.call.create_work(_NOW_S, 2, ["t0"], False, "north")
 
 
-@then("it tells that {spent_s:g} s are spent")
+@then("it reports that {spent_s:g} s are spent")
 def check_spent(context: Context, spent_s: float) -> None:
     assert abs(context.work.spent_s - spent_s) < 1e-6, context.work.spent_s
 
@@ -270,7 +270,7 @@
     context.dispatcher = _make_dispatcher(targets, None)
 
 
-@when("a gateway tells that the first target is leaving, and asks twice")
+@when("a gateway reports that the first target is draining, and asks twice")
 def tell_leaving(context: Context) -> None:
     context.dispatcher.mark_leaving(["t0", "a target that is gone"])
     context.got = [_place(context.dispatcher, name, 10) for name in ("one", "two")]
--- a/troutstand/tests/steps/targetpages.py
+++ b/troutstand/tests/steps/targetpages.py
@@ -97,7 +97,7 @@
     return json.dumps(entry).encode()
 
 
-@given("a page in the {form} form with two sound entries")
+@given("a page in the {form} form with two valid entries")
 def use_form(context: Context, form: str) -> None:
     context.writer = PageWriter(form)
 
@@ -107,7 +107,7 @@
     context.page = context.writer.write_between(_spoil(context.writer, fault))
 
 
-@then("the page names the two sound targets, and one spoiled entry")
+@then("the page names the two valid targets, and one invalid entry")
 def check_page(context: Context) -> None:
     page = context.writer.decode(context.page)
     assert [entry.target for entry in page.targets] == ["a", "b"], page
@@ -148,7 +148,9 @@
     return odd
 
 
-@then("{count:d} pages with drawn entries between sound ones name the sound ones and the next page")
+@then(
+    "{count:d} pages with random entries between valid ones name the valid ones and the next page"
+)
 def check_drawn(context: Context, count: int) -> None:
     writer = context.writer
 
@@ -176,7 +178,7 @@
     return json.loads(re.sub(r"-?Infinity|NaN", "null", json.dumps(values)))
 
 
-@then("{count:d} drawn pieces of bytes are a page or are refused with {code:d}")
+@then("{count:d} random byte strings are a page or are refused with {code:d}")
 def check_bytes(context: Context, count: int, code: int) -> None:
     writers = [PageWriter("own"), PageWriter("platform's")]
     start = writers[0].write([writers[0].encode("a")])
@@ -243,7 +245,7 @@
 # Real processes
 
 
-@given("a routed site whose list holds {count:d} spoiled entries beside its targets")
+@given("a routed site whose list holds {count:d} invalid entries beside its targets")
 def open_spoiled(context: Context, count: int) -> None:
     odd = [b'{"target":"odd-1"}', b"17", b'{"target":"\xff"}'][:count]
     scene = Scene(make_folder(context), invalid_entries=odd)
@@ -252,7 +254,7 @@
     scene.open(next_subnet(context))
 
 
-@then("the scheduler's log tells of {count:d} spoiled entries with their causes, each once")
+@then("the scheduler logs {count:d} invalid entries with their causes, each once")
 def check_told(context: Context, count: int) -> None:
     scene = context.scene
 
--- a/troutstand/tests/steps/trace.py
+++ b/troutstand/tests/steps/trace.py
@@ -136,7 +136,7 @@
         context.pairs.append((line, describe(machine.receive(make_event(line)), line)))
 
 
-@then("every action is the stated one")
+@then("every action is the expected one")
 def assert_actions(context: Context) -> None:
     assert len(context.pairs) > 2
     for line, found in context.pairs:
--- a/troutstand/tests/steps/worstload.py
+++ b/troutstand/tests/steps/worstload.py
@@ -119,13 +119,13 @@
         looked.clear()
 
 
-@then("none of them looked at more than {most:d} requests")
+@then("none of them scanned more than {most:d} requests")
 def check_looked(context: Context, most: int) -> None:
     counts = [len(looked) for looked in context.looked]
     assert max(counts) <= most, counts
 
 
-@then("each of the requests was looked at twice")
+@then("each of the requests was scanned twice")
 def check_each(context: Context) -> None:
     counts = Counter(name for looked in context.looked for name in looked)
     assert all(counts[name] == 2 for name in context.waiting), counts
@@ -166,7 +166,7 @@
     context.target = state.listed.target
 
 
-@then("no other engine was looked at, and that one at most {most:d} times for each")
+@then("no other engine was scanned, and that one at most {most:d} times for each")
 def check_one(context: Context, most: int) -> None:
     for looked in (context.after_first, context.after_end):
         assert set(looked) <= {context.target}, Counter(looked)
--- a/troutstand/tests/succession.feature
+++ b/troutstand/tests/succession.feature
@@ -15,7 +15,7 @@
       | 1      | d waits                                | is not due                   |
       | 1      | a hears all but itself and d waits     | is not due                   |
       | 2      | d waits                                | has d copying beside c       |
-      | 1      | all but a were silent since a stood still and d waits | is not due    |
+      | 1      | all but a were silent since a stalled and d waits | is not due    |
 
   Scenario: Only one disk copies at a time
     Given a set of keepers a, b and c for the loss of 2 disks
@@ -39,9 +39,9 @@
       | 5    | 3      |
 
   Scenario: A dead process's contact expires even if others keep passing it on
-    Given a contact heard 3 s ago
-    When the same word is passed on with its age for 25 s
-    Then the contact is forgotten
+    Given a contact last heard 3 s ago
+    When the same contact is passed on with its age for 25 s
+    Then the contact expires
 
   # A call that reached only some of the keepers must be repeatable, as its error message advises.
   Scenario Outline: The call that makes the initial set is idempotent
--- a/troutstand/tests/takeover.feature
+++ b/troutstand/tests/takeover.feature
@@ -8,12 +8,12 @@
     And the second target has 20000 tokens before it
 
   Scenario: Gateways that decide locally do not all choose the same target
-    Given 40 gateways that decide alone for 16 like targets
+    Given 40 gateways that decide locally for 16 equal targets
     When each of them places one request
     Then no target gets more than 12 of them
 
   Scenario: A scheduler that sees all requests chooses the first of equal targets
-    Given a scheduler of 16 like targets
+    Given a scheduler of 16 equal targets
     When it places one request twice from the beginning
     Then both went to the same target
 
@@ -32,19 +32,19 @@
     Given a scheduler whose only slot is taken
     When a request moves there with 0.6 of 1 s spent, after a new one with 0.5 s
     And the slot gets free there
-    Then the one that moved has it
+    Then the request that moved gets it
 
   Scenario: The second attempt reports how much of the objective the first one used
     Given a call that arrived 0.2 s ago
     When it asks for a second target
-    Then it tells that 0.2 s are spent
+    Then it reports that 0.2 s are spent
 
   Scenario: A late request that moves to another scheduler is not refused if the queue is empty
     Given a scheduler whose only slot is taken and gets free every 0.1 s
     When a request moves there with 0.5 of 0.4 s spent
     Then it waits there
     When the slot gets free there
-    Then the one that moved has it
+    Then the request that moved gets it
 
   # A request with little of its objective left must not be refused because of a wait of some
   # milliseconds after a change of scheduler.
@@ -53,7 +53,7 @@
     When a request moves there with 0.25 of 0.4 s spent
     Then it waits there
     When the slot gets free there
-    Then the one that moved has it
+    Then the request that moved gets it
 
   Scenario: A new request is still refused if it cannot meet its objective
     Given a scheduler whose only slot is taken and gets free every 0.5 s
@@ -62,7 +62,7 @@
 
   Scenario: A scheduler with an old list does not use a target that a gateway knows to be draining
     Given a scheduler that takes over from an older list of 2 targets
-    When a gateway tells that the first target is leaving, and asks twice
+    When a gateway reports that the first target is draining, and asks twice
     Then both requests go to the second target
 
   Scenario Outline: A gateway that <whom> and holds <which> list gets <count> targets with a heartbeat
@@ -113,7 +113,7 @@
     And 0.6 s pass at that scheduler
     Then it waits there
     When the slot gets free there
-    Then the one that moved has it
+    Then the request that moved gets it
 
   Scenario: A request that spent its objective at another scheduler waits no longer than any late one
     Given a scheduler whose only slot is taken
--- a/troutstand/tests/targetpages.feature
+++ b/troutstand/tests/targetpages.feature
@@ -1,9 +1,9 @@
 Feature: An invalid entry of the target list does not affect the other entries
 
   Scenario Outline: One invalid entry between two valid ones
-    Given a page in the <form> form with two sound entries
+    Given a page in the <form> form with two valid entries
     When an entry with <fault> stands between them
-    Then the page names the two sound targets, and one spoiled entry
+    Then the page names the two valid targets, and one invalid entry
 
     Examples:
       | form       | fault                        |
@@ -31,8 +31,8 @@
       | platform's | its end cut off              |
 
   Scenario Outline: Random data between valid entries does not affect them
-    Given a page in the <form> form with two sound entries
-    Then 500 pages with drawn entries between sound ones name the sound ones and the next page
+    Given a page in the <form> form with two valid entries
+    Then 500 pages with random entries between valid ones name the valid ones and the next page
 
     Examples:
       | form       |
@@ -40,7 +40,7 @@
       | platform's |
 
   Scenario: Random bytes are a page or are refused as a whole
-    Then 500 drawn pieces of bytes are a page or are refused with 2003
+    Then 500 random byte strings are a page or are refused with 2003
 
   Scenario: A target whose entry is unreadable stays listed for two seconds
     Given a list that named the targets a and b
@@ -58,7 +58,7 @@
     Then a is not listed
 
   Scenario: A site serves despite invalid entries, and logs each one once
-    Given a routed site whose list holds 3 spoiled entries beside its targets
+    Given a routed site whose list holds 3 invalid entries beside its targets
     Then a call of /do/ through each gateway gets 200
     And a call of /stream/ through each gateway gets 200
-    And the scheduler's log tells of 3 spoiled entries with their causes, each once
+    And the scheduler logs 3 invalid entries with their causes, each once
--- a/troutstand/tests/trace.feature
+++ b/troutstand/tests/trace.feature
@@ -11,7 +11,7 @@
 
   Scenario Outline: The trace <trace> replays to its expected outcome
     When the trace "<trace>" is replayed
-    Then every action is the stated one
+    Then every action is the expected one
 
     Examples:
       | trace                                  |
--- a/troutstand/tests/worstload.feature
+++ b/troutstand/tests/worstload.feature
@@ -25,8 +25,8 @@
   Scenario: Requests that wait for better targets do not delay the decisions
     Given 266 requests wait, and 15 engines are open that suit none of them
     When 10 ticks pass
-    Then none of them looked at more than 64 requests
-    And each of the requests was looked at twice
+    Then none of them scanned more than 64 requests
+    And each of the requests was scanned twice
 
   Scenario: A request behind many waiting ones gets the open engine that suits it
     Given 266 requests wait, and 15 engines are open that suit none of them
@@ -37,4 +37,4 @@
   Scenario: An event at one engine causes no scan of the others
     Given 266 requests wait, and 15 engines are open that suit none of them
     When a request begins to answer at one of the open engines, and one ends there
-    Then no other engine was looked at, and that one at most 8 times for each
+    Then no other engine was scanned, and that one at most 8 times for each
