--- a/troutstand/testing/coldstart.py
+++ b/troutstand/testing/coldstart.py
@@ -31,7 +31,7 @@
     # The scheduler that each gateway uses, by its last heartbeat to this one.
     schedulers_in_use: dict[int, str] = field(default_factory=dict)
 
-    def answer(self, now_s: float) -> Attached:
+    def make_reply(self, now_s: float) -> Attached:
         """Make the reply to a heartbeat."""
         reported = [name for name in self.schedulers_in_use.values() if name]
         most_used = max(sorted(set(reported)), key=reported.count, default="")
@@ -134,7 +134,7 @@
         is_local = isinstance(gateway.current, LocalDecider)
         scheduler.schedulers_in_use[gateway.number] = "" if is_local else str(gateway.current)
         arrival_s = now_s + self._rng.uniform(*_ROUND_TRIP_S)
-        gateway.pending_replies.append((arrival_s, name, scheduler.answer(now_s)))
+        gateway.pending_replies.append((arrival_s, name, scheduler.make_reply(now_s)))
 
 
 def measure_local_s(asked: list[set[str]], ready_s: list[float]) -> float:
--- a/troutstand/testing/demo.py
+++ b/troutstand/testing/demo.py
@@ -43,7 +43,7 @@
     print(f"{'TIER':10}{'OFFERED':>9}{'WHOLE':>9}{'GOOD':>9}{'REFUSED':>9}{'FIRST P95':>12}")
     for score in score_tiers(results, site.rows):
         print(
-            f"{score.tier:10}{score.offered:9}{score.whole:9}{score.good:9}"
+            f"{score.tier:10}{score.offered:9}{score.correct:9}{score.good:9}"
             f"{score.refused:9}{score.first_token_p95_s:10.3f} s"
         )
     waste = score_prefill_waste(engines, results, site.plan.cache_tokens)
--- a/troutstand/testing/engine.py
+++ b/troutstand/testing/engine.py
@@ -143,7 +143,7 @@
             stream = self.streams[request]
             self.record(EngineRecord(time.time(), request, "resumed"))
             return await self._send(http, stream, int(last) + 1)
-        stream = self._open(request, payload, http.path.endswith("/chat/completions"))
+        stream = self._open_stream(request, payload, http.path.endswith("/chat/completions"))
         self.waiting += 1
         async with self._slots:
             self.waiting -= 1
@@ -153,7 +153,7 @@
             finally:
                 self.running.pop(request, None)
 
-    def _open(self, request: str, payload: dict[str, Any], is_chat: bool) -> Stream:
+    def _open_stream(self, request: str, payload: dict[str, Any], is_chat: bool) -> Stream:
         total = payload.get("max_tokens") or payload.get("max_completion_tokens") or 16
         stream = Stream(request, payload["model"], total, is_chat, 0, 0)
         self.streams[request] = stream
--- a/troutstand/testing/score.py
+++ b/troutstand/testing/score.py
@@ -28,7 +28,7 @@
 
     tier: str
     offered: int
-    whole: int
+    correct: int
     good: int
     refused: int
     first_token_p95_s: float
@@ -56,15 +56,15 @@
     scores: list[TierScore] = []
     model_results = [result for result in results if not result.drawn.is_command]
     for tier in tiers:
-        own = [result for result in model_results if result.drawn.tier == tier.name]
-        first = [r.first_token_s - r.sent_s for r in own if r.first_token_s is not None]
+        tier_results = [result for result in model_results if result.drawn.tier == tier.name]
+        first = [r.first_token_s - r.sent_s for r in tier_results if r.first_token_s is not None]
         scores.append(
             TierScore(
                 tier=tier.name,
-                offered=len(own),
-                whole=sum(result.is_correct for result in own),
-                good=sum(_is_good(result, tier) for result in own),
-                refused=sum(result.refusal is not None for result in own),
+                offered=len(tier_results),
+                correct=sum(result.is_correct for result in tier_results),
+                good=sum(_is_good(result, tier) for result in tier_results),
+                refused=sum(result.refusal is not None for result in tier_results),
                 first_token_p95_s=compute_percentile(first, 0.95),
             )
         )
@@ -126,8 +126,8 @@
             continue
         prefixes = hash_prefixes(MODEL, f"user: {result.drawn.prompt}")
         max_cached = max((cache.match(prefixes) for cache in caches.values()), default=0)
-        own = caches.setdefault(item.engine, PrefixCache(cache_tokens))
-        own.insert(prefixes)
+        cache_of_engine = caches.setdefault(item.engine, PrefixCache(cache_tokens))
+        cache_of_engine.insert(prefixes)
         record = item.record
         prompt += record.prompt_tokens
         computed += record.computed_tokens
--- a/troutstand/testing/site.py
+++ b/troutstand/testing/site.py
@@ -229,7 +229,7 @@
     def cut_domain(self, domain: str) -> None:
         """Partition a failure domain from all others."""
         assert self.hub is not None
-        inside = {name for name, own in self.domains.items() if own == domain}
+        inside = {name for name, process_domain in self.domains.items() if process_domain == domain}
         outside = set(self.domains) - inside
         self.hub.cut({LinkDirection(a, b) for a in inside for b in outside})
         self.hub.cut({LinkDirection(b, a) for a in inside for b in outside})
--- a/troutstand/testing/worstload.py
+++ b/troutstand/testing/worstload.py
@@ -78,7 +78,7 @@
     """Read recorded arrivals from CSV rows: milliseconds, route tier, workspace tier."""
     with path.open(newline="") as file:
         rows = list(csv.reader(file))
-    return [Arrival(int(at) / 1000.0, int(route), int(own)) for at, route, own in rows]
+    return [Arrival(int(at) / 1000.0, int(route), int(workspace)) for at, route, workspace in rows]
 
 
 @dataclass(frozen=True)
