--- a/troutstand/tests/routed.feature
+++ b/troutstand/tests/routed.feature
@@ -48,7 +48,7 @@
   Scenario: A configuration applies everywhere, and a version number never has two contents
     Given a routed site
     When two operators send different contents under version 7 at once
-    Then every keeper tells one and the same content under version 7
+    Then every keeper returns the same content under version 7
     And it is in force at each gateway within 2 s
     And an older version sent again is acknowledged and changes nothing
     And an invalid one is refused with 400 and the content stays
@@ -60,7 +60,7 @@
     And keeper-2 is killed
     Then version 4 can be acknowledged
     When keeper-2 starts again and all keepers are killed and start again
-    Then every keeper tells version 4
+    Then every keeper returns version 4
 
   Scenario: A keeper is replaced by an empty one at another address
     Given a routed site
@@ -82,7 +82,7 @@
 
   Scenario: A stopping gateway closes idle connections at once
     Given a routed site
-    When a gateway with 5 connections at rest is told to stop
+    When a gateway with 5 idle connections is told to stop
     Then each of them is closed within 1.5 s, before the gateway has ended
 
   Scenario: A scheduler that takes over reads the target list at once
@@ -93,7 +93,7 @@
   Scenario: Gateways notice at once that every scheduler has ended
     Given a routed site
     When all schedulers are killed at once
-    Then every gateway decides alone within 0.4 s
+    Then every gateway decides locally within 0.4 s
 
   # Without the longest pause of a stream in the gateway's message, the scheduler assumes the default
   # time per token for every target.
--- a/troutstand/tests/routedrollouts.feature
+++ b/troutstand/tests/routedrollouts.feature
@@ -38,7 +38,7 @@
     Given a routed site whose targets run "v1"
     When a rollout of "work" to "v2" within 60 s is ordered
     And all keepers are killed, one loses its disk, and all start again
-    Then every keeper comes to tell that the rollout is in_progress
+    Then every keeper eventually reports that the rollout is in_progress
     And the same order is acknowledged again at each keeper
     And an order to "v3" is refused with 409 at each keeper
 
--- a/troutstand/tests/serving.feature
+++ b/troutstand/tests/serving.feature
@@ -40,7 +40,7 @@
 
   Scenario: A draining target gets no new requests
     Given a site of 1 domain whose engines resume
-    When the table calls "north-engine-0" leaving and that is in force
+    When the table lists "north-engine-0" as draining and that is in force
     Then 6 plain chats are whole and their own
     And "north-engine-0" got none of them
 
@@ -48,7 +48,7 @@
     Given a site of 1 domain with 4 slots in all
     When drafts fill every slot and 4 urgent chats come
     Then every urgent chat is whole and its own
-    And the drafts that gave way were told to come back
+    And the preempted drafts were told to retry
 
   Scenario: A cut domain goes on serving, and catches up when the cut heals
     Given a relayed site of 3 failure domains
--- a/troutstand/tests/startup.feature
+++ b/troutstand/tests/startup.feature
@@ -114,4 +114,4 @@
     Given a routed gateway that runs
     When its settings get a bad seed and a bad target list
     Then it logs settings_refused with 1002 and both fields
-    And it runs still
+    And it is still running
--- a/troutstand/tests/steps/routed.py
+++ b/troutstand/tests/steps/routed.py
@@ -190,7 +190,7 @@
     context.took_s = context.scene.background.run(kill_all_schedulers(context.scene))
 
 
-@then("every gateway decides alone within {limit_s:g} s")
+@then("every gateway decides locally within {limit_s:g} s")
 def check_alone(context: Context, limit_s: float) -> None:
     assert context.took_s < limit_s, context.took_s
 
@@ -343,7 +343,7 @@
     return list(times)
 
 
-@when("a gateway with {count:d} connections at rest is told to stop")
+@when("a gateway with {count:d} idle connections is told to stop")
 def rest(context: Context, count: int) -> None:
     context.times = context.scene.background.run(_rest(context.scene, count))
 
--- a/troutstand/tests/steps/routedcontrol.py
+++ b/troutstand/tests/steps/routedcontrol.py
@@ -56,7 +56,7 @@
     scene.background.run(run())
 
 
-@then("every keeper tells one and the same content under version {version:d}")
+@then("every keeper returns the same content under version {version:d}")
 def check_one(context: Context, version: int) -> None:
     contents = set(context.scene.background.run(read_configurations(context.scene)))
     assert len(contents) == 1, contents
@@ -93,7 +93,7 @@
     assert set(scene.background.run(read_configurations(scene))) == {context.content}
 
 
-@then("every keeper tells version {version:d}")
+@then("every keeper returns version {version:d}")
 def check_version(context: Context, version: int) -> None:
     scene = context.scene
     expected = ConfigurationPlan(version).encode()
--- a/troutstand/tests/steps/routedrollouts.py
+++ b/troutstand/tests/steps/routedrollouts.py
@@ -226,7 +226,7 @@
         site.start(keeper.name)
 
 
-@then("every keeper comes to tell that the rollout is {state}")
+@then("every keeper eventually reports that the rollout is {state}")
 def check_told(context: Context, state: str) -> None:
     scene = context.scene
 
--- a/troutstand/tests/steps/routedstartup.py
+++ b/troutstand/tests/steps/routedstartup.py
@@ -113,7 +113,7 @@
     assert "target_list" in line, line
 
 
-@then("it runs still")
+@then("it is still running")
 def assert_running(context: Context) -> None:
     assert context.process.is_running, context.process.log.read_text()
 
--- a/troutstand/tests/steps/serving.py
+++ b/troutstand/tests/steps/serving.py
@@ -222,7 +222,7 @@
     assert context.site.processes[context.victim].wait() == code
 
 
-@when('the table calls "{engine}" leaving and that is in force')
+@when('the table lists "{engine}" as draining and that is in force')
 def leave(context: Context, engine: str) -> None:
     site = context.site
     row = next(row for row in site.rows if isinstance(row, Target) and row.name == engine)
@@ -255,7 +255,7 @@
     assert_streams(context)
 
 
-@then("the drafts that gave way were told to come back")
+@then("the preempted drafts were told to retry")
 def assert_drafts(context: Context) -> None:
     refusals = [result.refusal for result in context.drafts if result.refusal]
     assert refusals, context.drafts
